--- a/src/gateway/gateway_core.cc
+++ b/src/gateway/gateway_core.cc
@@ -557,7 +557,7 @@
 
 std::vector<quota::QuotaUse> GatewayCore::TellQuotas(std::size_t group,
                                                      std::size_t most) {
-  return this->implementation->customers.ledger().Tell(
+  return this->implementation->customers.ledger().CollectReports(
       group, most, this->implementation->Now());
 }
 
@@ -569,7 +569,7 @@
 }
 
 void GatewayCore::NotePeerListed(const std::string& peer) {
-  this->implementation->customers.ledger().NoteListed(
+  this->implementation->customers.ledger().OnPeerListed(
       peer, this->implementation->Now());
 }
 
--- a/src/gateway/gateway_core.h
+++ b/src/gateway/gateway_core.h
@@ -95,8 +95,8 @@
   void TellCrashesAgain();
 
   // Customers' quotas: what the peers of a group should hear of what this
-  // process took (quota::QuotaLedger::Tell); that a peer was heard, with what
-  // it told; and that one is said to be there.
+  // process took (quota::QuotaLedger::CollectReports); that a peer was heard,
+  // with what it told; and that one is said to be there.
   std::vector<quota::QuotaUse> TellQuotas(std::size_t group, std::size_t most);
   void NotePeerHeard(const std::string& peer,
                      Incarnation incarnation,
--- a/src/gateway/internal/customer_gate.cc
+++ b/src/gateway/internal/customer_gate.cc
@@ -47,7 +47,7 @@
                                               .burst = limit->burst};
                   },
               .tolerance = this->options.tolerance,
-              .shares = {.silence = SilenceOf}}) {}
+              .shares = {.heartbeat_timeout = SilenceOf}}) {}
 
 CustomerGate::Verdict CustomerGate::Identify(RelayJob& job) const {
   job.priority = job.route->priority;
@@ -100,7 +100,7 @@
                             const RelayOutcome& outcome,
                             Instant now) {
   if (job.quota_taken > 0 && RanNowhere(outcome)) {
-    this->quotas.GiveBack(KeyOf(job.customer->name), job.quota_taken, now);
+    this->quotas.Refund(KeyOf(job.customer->name), job.quota_taken, now);
   }
 }
 
@@ -110,7 +110,7 @@
                                  Instant now) {
   const RouteTable* const routes = this->options.routes();
   if (routes != nullptr && routes->configuration().customers) {
-    this->quotas.NoteHeard(peer, incarnation, told, now);
+    this->quotas.OnPeerReport(peer, incarnation, told, now);
   }
 }
 
--- a/src/gateway/tests/quota_ways.cc
+++ b/src/gateway/tests/quota_ways.cc
@@ -41,13 +41,14 @@
               },
           .tell =
               [ledger](std::size_t group, Instant now) {
-                return QuotaNews{.uses = ledger->Tell(group, kMostTold, now)};
+                return QuotaNews{
+                    .uses = ledger->CollectReports(group, kMostTold, now)};
               },
           .hear =
               [ledger](std::size_t from, Incarnation incarnation,
                        const QuotaNews& news, Instant now) {
-                ledger->NoteHeard(std::to_string(from), incarnation, news.uses,
-                                  now);
+                ledger->OnPeerReport(std::to_string(from), incarnation,
+                                     news.uses, now);
               }};
 }
 
@@ -59,7 +60,7 @@
     // The store lists them when a process starts.
     for (std::size_t peer = 0; peer < fleet.size(); ++peer) {
       if (peer != number) {
-        ledger->NoteListed(std::to_string(peer), fleet.now());
+        ledger->OnPeerListed(std::to_string(peer), fleet.now());
       }
     }
     return WayBy(ledger);
@@ -70,13 +71,14 @@
 
 QuotaFleet::MakeWay LedgerWay() {
   return LedgerOf({.tolerance = {.overshoot = kOvershoot, .spare = kSlack},
-                   .shares = {.silence = SilenceOf}});
+                   .shares = {.heartbeat_timeout = SilenceOf}});
 }
 
 QuotaFleet::MakeWay ReportsWay() {
-  return LedgerOf({.shares = {.silence = [](std::size_t) { return 1h; },
-                              .memory = 1h,
-                              .listed = 0s}});
+  return LedgerOf(
+      {.shares = {.heartbeat_timeout = [](std::size_t) { return 1h; },
+                  .retention = 1h,
+                  .listed_retention = 0s}});
 }
 
 QuotaFleet::MakeWay EvenSplitWay() {
--- a/src/gateway_process/tests/peer_link_test.cc
+++ b/src/gateway_process/tests/peer_link_test.cc
@@ -77,18 +77,19 @@
               .on_newcomer = [this] { this->crashes.TellAgain(this->Now()); },
               .tell_quotas =
                   [this](std::size_t group, std::size_t most) {
-                    return this->quotas.Tell(group, most, this->Now());
+                    return this->quotas.CollectReports(group, most,
+                                                       this->Now());
                   },
               .on_heard =
                   [this](const std::string& peer,
                          Incarnation incarnation,
                          const std::vector<quota::QuotaUse>& told) {
-                    this->quotas.NoteHeard(peer, incarnation, told,
-                                           this->Now());
+                    this->quotas.OnPeerReport(peer, incarnation, told,
+                                              this->Now());
                   },
               .on_listed =
                   [this](const std::string& peer) {
-                    this->quotas.NoteListed(peer, this->Now());
+                    this->quotas.OnPeerListed(peer, this->Now());
                   },
               .on_peer_count =
                   [this](std::size_t alive, std::size_t, bool is_first) {
--- a/src/quota/peer_shares.cc
+++ b/src/quota/peer_shares.cc
@@ -15,18 +15,19 @@
 }  // namespace
 
 bool PeerShares::Counts(const Peer& peer, Instant now) const {
-  return peer.heard ? now - peer.heard_at < this->options.memory
-                    : now - peer.listed_at < this->options.listed;
+  return peer.heard ? now - peer.heard_at < this->options.retention
+                    : now - peer.listed_at < this->options.listed_retention;
 }
 
 void PeerShares::Count(Instant now) {
   std::erase_if(this->peers, [this, now](const auto& entry) {
     return !this->Counts(entry.second, now);
   });
-  const Duration silence = this->options.silence(this->peers.size());
+  const Duration heartbeat_timeout =
+      this->options.heartbeat_timeout(this->peers.size());
   std::size_t silent = 0;
   for (auto& [id, peer] : this->peers) {
-    peer.silent = !peer.heard || now - peer.heard_at >= silence;
+    peer.silent = !peer.heard || now - peer.heard_at >= heartbeat_timeout;
     silent += peer.silent ? 1 : 0;
   }
   this->heard_count = this->peers.size() - silent;
@@ -57,9 +58,9 @@
   }
 }
 
-bool PeerShares::NoteHeard(const std::string& peer_id,
-                           Incarnation incarnation,
-                           Instant now) {
+bool PeerShares::OnPeerReport(const std::string& peer_id,
+                              Incarnation incarnation,
+                              Instant now) {
   this->Pass(now);
   Peer& peer = this->peers[peer_id];
   const bool other_life = !peer.heard || peer.incarnation != incarnation;
@@ -76,7 +77,7 @@
   return other_life;
 }
 
-void PeerShares::NoteListed(const std::string& peer_id, Instant now) {
+void PeerShares::OnPeerListed(const std::string& peer_id, Instant now) {
   this->Pass(now);
   if (this->peers.try_emplace(peer_id, Peer{.listed_at = now, .silent = true})
           .second) {
--- a/src/quota/peer_shares.h
+++ b/src/quota/peer_shares.h
@@ -21,11 +21,11 @@
   struct Options {
     // After which a peer is silent, with so many of them: two rounds of what
     // they tell, since one is lost now and then.
-    std::function<Duration(std::size_t peers)> silence =
+    std::function<Duration(std::size_t peers)> heartbeat_timeout =
         [](std::size_t /*peers*/) { return Duration(800ms); };
-    Duration memory = 60s;  // then a silent peer is gone
+    Duration retention = 60s;  // then a silent peer is gone
     // A peer that was listed and never heard may have just started too.
-    Duration listed = 5s;
+    Duration listed_retention = 5s;
   };
 
   explicit PeerShares(Options share_options)
@@ -33,9 +33,11 @@
 
   // The peer was heard just now. True: in another life than before, or for the
   // first time.
-  bool NoteHeard(const std::string& peer, Incarnation incarnation, Instant now);
+  bool OnPeerReport(const std::string& peer,
+                    Incarnation incarnation,
+                    Instant now);
   // It is said to be there.
-  void NoteListed(const std::string& peer, Instant now);
+  void OnPeerListed(const std::string& peer, Instant now);
 
   // Brings time forward. Call it before the others.
   void Pass(Instant now);
--- a/src/quota/quota_ledger.cc
+++ b/src/quota/quota_ledger.cc
@@ -105,16 +105,16 @@
   return verdict;
 }
 
-void QuotaLedger::GiveBack(CustomerKey customer, double amount, Instant now) {
+void QuotaLedger::Refund(CustomerKey customer, double amount, Instant now) {
   if (Account* const account = this->Open(customer, now)) {
     this->Use(*account, -amount, now);
     account->left = std::min(account->left, this->Most(account->quota.burst));
   }
 }
 
-std::vector<QuotaUse> QuotaLedger::Tell(std::size_t group,
-                                        std::size_t most,
-                                        Instant now) {
+std::vector<QuotaUse> QuotaLedger::CollectReports(std::size_t group,
+                                                  std::size_t most,
+                                                  Instant now) {
   if (this->accounts.empty()) {
     return {};
   }
@@ -168,16 +168,16 @@
   this->Refill(*account, account->quota);
 }
 
-void QuotaLedger::NoteHeard(const std::string& peer_id,
-                            Incarnation incarnation,
-                            const std::vector<QuotaUse>& told,
-                            Instant now) {
+void QuotaLedger::OnPeerReport(const std::string& peer_id,
+                               Incarnation incarnation,
+                               const std::vector<QuotaUse>& told,
+                               Instant now) {
   if (this->begun == kNever) {
     this->begun = now;
   }
   const auto [found, unknown] = this->peers.try_emplace(peer_id);
   Peer& peer = found->second;
-  if (this->shares.NoteHeard(peer_id, incarnation, now) || unknown) {
+  if (this->shares.OnPeerReport(peer_id, incarnation, now) || unknown) {
     peer = {.since = now};
   }
   peer.heard_at = now;
@@ -188,9 +188,9 @@
 
 void QuotaLedger::Sweep(Instant now) {
   std::erase_if(this->accounts, [this, now](const auto& entry) {
-    return now - entry.second.used_at >= this->options.memory;
+    return now - entry.second.used_at >= this->options.retention;
   });
-  const Duration remembered = 2 * this->options.memory;
+  const Duration remembered = 2 * this->options.retention;
   for (auto& [id, peer] : this->peers) {
     std::erase_if(peer.heard, [remembered, now](const auto& entry) {
       return now - entry.second.at >= remembered;
--- a/src/quota/quota_ledger.h
+++ b/src/quota/quota_ledger.h
@@ -40,7 +40,7 @@
     Duration telling = 1500ms;
     // An idle account is closed. What a peer told is remembered for twice as
     // long: it counts from there until the peer has closed its own.
-    Duration memory = 30s;
+    Duration retention = 30s;
     PeerShares::Options shares;
   };
 
@@ -62,19 +62,21 @@
   Verdict Take(CustomerKey customer, double amount, Instant now);
 
   // What was taken for a request that did not run.
-  void GiveBack(CustomerKey customer, double amount, Instant now);
+  void Refund(CustomerKey customer, double amount, Instant now);
 
   // What the peers of a group should hear, at most `most`: first what changed
   // most since they heard of it.
-  std::vector<QuotaUse> Tell(std::size_t group, std::size_t most, Instant now);
+  std::vector<QuotaUse> CollectReports(std::size_t group,
+                                       std::size_t most,
+                                       Instant now);
 
   // A peer was heard, with what it told; and is said to be there.
-  void NoteHeard(const std::string& peer_id,
-                 Incarnation incarnation,
-                 const std::vector<QuotaUse>& told,
-                 Instant now);
-  void NoteListed(const std::string& peer, Instant now) {
-    this->shares.NoteListed(peer, now);
+  void OnPeerReport(const std::string& peer_id,
+                    Incarnation incarnation,
+                    const std::vector<QuotaUse>& told,
+                    Instant now);
+  void OnPeerListed(const std::string& peer, Instant now) {
+    this->shares.OnPeerListed(peer, now);
   }
 
   // Forgets what is over. Call it now and then.
--- a/src/quota/tests/quota_ledger_test.cc
+++ b/src/quota/tests/quota_ledger_test.cc
@@ -23,7 +23,7 @@
       : ledger({.quota_of = [this](CustomerKey) { return this->quota; },
                 .tolerance = {.spare = spare}}) {
     // Only what is told counts for the age of a process.
-    this->ledger.NoteHeard("other", kLife, {}, kStart);
+    this->ledger.OnPeerReport("other", kLife, {}, kStart);
   }
 
   // Takes as many requests of this size as there are at once.
@@ -36,7 +36,7 @@
     return granted;
   }
   void Hear(const std::string& peer, Instant now) {
-    this->ledger.NoteHeard(peer, kLife, {}, now);
+    this->ledger.OnPeerReport(peer, kLife, {}, now);
   }
 
   Quota quota{.per_second = 100, .burst = 200};
@@ -52,8 +52,9 @@
     this->other.Hear("one", kStart);
   }
   void Tell() {
-    this->other.ledger.NoteHeard(
-        "one", kLife, this->one.ledger.Tell(0, 8, this->now), this->now);
+    this->other.ledger.OnPeerReport(
+        "one", kLife, this->one.ledger.CollectReports(0, 8, this->now),
+        this->now);
   }
 
   Instant now = kStart + 10s;
@@ -140,7 +141,7 @@
           Pair pair;
           pair.one.ledger.Take(kCustomer, 150, pair.now);
           pair.Tell();
-          pair.one.ledger.GiveBack(kCustomer, 150, pair.now);
+          pair.one.ledger.Refund(kCustomer, 150, pair.now);
           pair.Tell();
           CPPUNIT_ASSERT_EQUAL(std::size_t{20},
                                pair.other.TakeAll(10, pair.now));
@@ -155,16 +156,16 @@
           veteran.Hear("other", now);
           veteran.ledger.Take(kCustomer, 190, now);
           Book newcomer;
-          newcomer.ledger.NoteHeard("veteran", kLife,
-                                    veteran.ledger.Tell(0, 8, now), now);
+          newcomer.ledger.OnPeerReport(
+              "veteran", kLife, veteran.ledger.CollectReports(0, 8, now), now);
           CPPUNIT_ASSERT(!newcomer.ledger.Take(kCustomer, 20, now).granted);
         }),
      It("in another life counts from nothing", [] {
        Pair pair;
        pair.one.ledger.Take(kCustomer, 50, pair.now);
-       pair.other.ledger.NoteHeard("one", Incarnation(2),
-                                   pair.one.ledger.Tell(0, 8, pair.now),
-                                   pair.now);
+       pair.other.ledger.OnPeerReport(
+           "one", Incarnation(2),
+           pair.one.ledger.CollectReports(0, 8, pair.now), pair.now);
        CPPUNIT_ASSERT_EQUAL(std::size_t{15}, pair.other.TakeAll(10, pair.now));
      })});
 
