--- a/src/forecast/learned_line.cc
+++ b/src/forecast/learned_line.cc
@@ -96,8 +96,8 @@
   this->fixed = std::max(kLeast, mean_of_times - this->each * mean_of_sizes);
 }
 
-void LearnedLine::Adopt(const ToldValue& told_fixed,
-                        const ToldValue& told_each) {
+void LearnedLine::Adopt(const ReportedValue& told_fixed,
+                        const ReportedValue& told_each) {
   if (this->count >= LearnedValue::kSure ||
       told_each.observations <= this->count || !IsUsable(told_fixed.value) ||
       !IsUsable(told_each.value)) {
--- a/src/forecast/learned_line.h
+++ b/src/forecast/learned_line.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "forecast/types/told_value.h"
+#include "forecast/types/reported_value.h"
 
 namespace acacialug::forecast {
 
@@ -32,7 +32,7 @@
   void Note(double size, double time);
 
   // What a peer has learned, as LearnedValue::Adopt.
-  void Adopt(const ToldValue& told_fixed, const ToldValue& told_each);
+  void Adopt(const ReportedValue& told_fixed, const ReportedValue& told_each);
 
   double At(double size) const { return this->fixed + this->each * size; }
   double fixed_part() const { return this->fixed; }
--- a/src/forecast/learned_value.cc
+++ b/src/forecast/learned_value.cc
@@ -36,7 +36,7 @@
   this->count = std::min(this->count + 1, kMostCounted);
 }
 
-void LearnedValue::Adopt(const ToldValue& told) {
+void LearnedValue::Adopt(const ReportedValue& told) {
   if (this->count >= kSure || told.observations <= this->count ||
       !IsUsable(told.value)) {
     return;
--- a/src/forecast/learned_value.h
+++ b/src/forecast/learned_value.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "forecast/types/told_value.h"
+#include "forecast/types/reported_value.h"
 
 namespace acacialug::forecast {
 
@@ -35,11 +35,11 @@
   // Takes what a peer has learned, while it has learned more than this process
   // and this process is not sure. It counts as no more than kSure observations,
   // and yields to own ones at their usual weight.
-  void Adopt(const ToldValue& told);
+  void Adopt(const ReportedValue& told);
 
   double value() const { return this->current; }
   std::uint32_t observations() const { return this->count; }
-  ToldValue Told() const {
+  ReportedValue Report() const {
     return {.value = this->current, .observations = this->count};
   }
 
--- a/src/forecast/service_forecast.cc
+++ b/src/forecast/service_forecast.cc
@@ -70,8 +70,8 @@
   this->prefill.Note(computed, Milliseconds(took));
 }
 
-void ServiceForecast::NoteOwnPrompt(std::uint64_t prompt_tokens,
-                                    Duration took) {
+void ServiceForecast::NoteLocalPrefill(std::uint64_t prompt_tokens,
+                                       Duration took) {
   this->own_prompt.Note(Seconds(took) /
                         Seconds(this->PrefillTime(prompt_tokens)));
 }
@@ -95,12 +95,13 @@
   return FromMilliseconds(this->prefill.At(static_cast<double>(prompt_tokens)));
 }
 
-Duration ServiceForecast::ReadingTime(std::uint64_t prompt_tokens) const {
+Duration ServiceForecast::MarginalPrefillTime(
+    std::uint64_t prompt_tokens) const {
   return FromMilliseconds(this->prefill.each_part() *
                           static_cast<double>(prompt_tokens));
 }
 
-Duration ServiceForecast::OwnPromptTime(std::uint64_t prompt_tokens) const {
+Duration ServiceForecast::LocalPrefillTime(std::uint64_t prompt_tokens) const {
   return FromSeconds(Seconds(this->PrefillTime(prompt_tokens)) *
                      this->own_prompt.value());
 }
@@ -114,7 +115,7 @@
 }
 
 Duration ServiceForecast::PromptPause(std::uint64_t prompt_tokens) const {
-  const Duration most = this->Pause() + this->OwnPromptTime(prompt_tokens);
+  const Duration most = this->Pause() + this->LocalPrefillTime(prompt_tokens);
   if (this->prompt_pause.observations() < kBelievedPauses) {
     return most;
   }
@@ -130,28 +131,29 @@
   return FromMilliseconds(this->call.value());
 }
 
-ToldValue ServiceForecast::Of(Figure figure) const {
-  return this->Told()[static_cast<std::size_t>(figure)];
+ReportedValue ServiceForecast::ForFigure(Figure figure) const {
+  return this->Report()[static_cast<std::size_t>(figure)];
 }
 
-bool ServiceForecast::Known() const {
-  const ForecastDigest told = this->Told();
-  return std::any_of(told.begin(), told.end(), [](const ToldValue& value) {
+bool ServiceForecast::HasObservations() const {
+  const ForecastDigest told = this->Report();
+  return std::any_of(told.begin(), told.end(), [](const ReportedValue& value) {
     return value.observations > 0;
   });
 }
 
-ForecastDigest ServiceForecast::Told() const {
+ForecastDigest ServiceForecast::Report() const {
   const std::uint32_t prefills = this->prefill.observations();
-  return {
-      ToldValue{.value = this->prefill.fixed_part(), .observations = prefills},
-      ToldValue{.value = this->prefill.each_part(), .observations = prefills},
-      this->own_prompt.Told(),
-      this->first_event.Told(),
-      this->pause.Told(),
-      this->prompt_pause.Told(),
-      this->token.Told(),
-      this->call.Told()};
+  return {ReportedValue{.value = this->prefill.fixed_part(),
+                        .observations = prefills},
+          ReportedValue{.value = this->prefill.each_part(),
+                        .observations = prefills},
+          this->own_prompt.Report(),
+          this->first_event.Report(),
+          this->pause.Report(),
+          this->prompt_pause.Report(),
+          this->token.Report(),
+          this->call.Report()};
 }
 
 void ServiceForecast::Adopt(const ForecastDigest& told) {
@@ -159,7 +161,7 @@
     return told[static_cast<std::size_t>(figure)];
   };
   this->prefill.Adopt(of(Figure::kPrefillFixedMs), of(Figure::kPrefillTokenMs));
-  this->own_prompt.Adopt(of(Figure::kOwnPromptTimes));
+  this->own_prompt.Adopt(of(Figure::kLocalPrefillRatio));
   this->first_event.Adopt(of(Figure::kFirstEventMs));
   this->pause.Adopt(of(Figure::kPauseMs));
   this->prompt_pause.Adopt(of(Figure::kPromptPauseMs));
--- a/src/forecast/service_forecast.h
+++ b/src/forecast/service_forecast.h
@@ -33,7 +33,7 @@
                    std::uint64_t ahead,
                    Duration took);
   // A decode endpoint computed a prompt between the tokens of its streams.
-  void NoteOwnPrompt(std::uint64_t prompt_tokens, Duration took);
+  void NoteLocalPrefill(std::uint64_t prompt_tokens, Duration took);
   // A decode endpoint was sent a computed prompt, and made its first event.
   void NoteFirstEvent(Duration took);
   // Between two events of a stream, which stand for so many tokens;
@@ -46,9 +46,9 @@
   // At a prefill endpoint that does nothing else.
   Duration PrefillTime(std::uint64_t prompt_tokens) const;
   // The part of it that grows with the prompt: what is queued there takes that.
-  Duration ReadingTime(std::uint64_t prompt_tokens) const;
+  Duration MarginalPrefillTime(std::uint64_t prompt_tokens) const;
   // At a decode endpoint.
-  Duration OwnPromptTime(std::uint64_t prompt_tokens) const;
+  Duration LocalPrefillTime(std::uint64_t prompt_tokens) const;
   Duration FirstEvent() const;
   Duration Pause() const;
   // The longest pause that a prompt computed at a decode endpoint causes to its
@@ -58,10 +58,10 @@
   double TokenMs() const;
   Duration Call() const;
 
-  ToldValue Of(Figure figure) const;
+  ReportedValue ForFigure(Figure figure) const;
   // Anything was learned.
-  bool Known() const;
-  ForecastDigest Told() const;
+  bool HasObservations() const;
+  ForecastDigest Report() const;
   // What a peer told, as LearnedValue::Adopt.
   void Adopt(const ForecastDigest& told);
 
--- a/src/forecast/tests/service_forecast_test.cc
+++ b/src/forecast/tests/service_forecast_test.cc
@@ -27,7 +27,7 @@
             forecast.NotePrefill(3000, 2000, 297ms);
           }
           CPPUNIT_ASSERT(Near(forecast.PrefillTime(6000), 430ms));
-          CPPUNIT_ASSERT(Near(forecast.ReadingTime(1500), 100ms));
+          CPPUNIT_ASSERT(Near(forecast.MarginalPrefillTime(1500), 100ms));
         }),
      It("learns nothing of the reading speed from a long queue",
         [] {
@@ -35,23 +35,24 @@
           forecast.NotePrefill(1000, 20000, 300ms);
           forecast.NotePrefill(1000, 0, 0ms);
           CPPUNIT_ASSERT_EQUAL(
-              0U, forecast.Of(Figure::kPrefillTokenMs).observations);
+              0U, forecast.ForFigure(Figure::kPrefillTokenMs).observations);
         }),
      It("tells a prompt's time at a decode endpoint from that at a prefill "
         "endpoint, from the first",
         [] {
           ServiceForecast forecast;
-          CPPUNIT_ASSERT(Near(forecast.OwnPromptTime(3000),
+          CPPUNIT_ASSERT(Near(forecast.LocalPrefillTime(3000),
                               2 * forecast.PrefillTime(3000)));
           for (int number = 0; number < 20; ++number) {
-            forecast.NoteOwnPrompt(3000, 900ms);
+            forecast.NoteLocalPrefill(3000, 900ms);
           }
-          CPPUNIT_ASSERT(Near(forecast.OwnPromptTime(3000), 900ms));
+          CPPUNIT_ASSERT(Near(forecast.LocalPrefillTime(3000), 900ms));
         }),
      It("expects a pause beside a prompt to last no longer than the prompt",
         [] {
           ServiceForecast forecast;
-          const Duration most = forecast.Pause() + forecast.OwnPromptTime(3000);
+          const Duration most =
+              forecast.Pause() + forecast.LocalPrefillTime(3000);
           CPPUNIT_ASSERT(most == forecast.PromptPause(3000));
           for (int number = 0; number < 20; ++number) {
             forecast.NotePause(150ms, 11, true);
@@ -66,7 +67,7 @@
          old.NotePause(450ms, 50, true);
        }
        ServiceForecast started;
-       started.Adopt(old.Told());
+       started.Adopt(old.Report());
        CPPUNIT_ASSERT(Near(started.PrefillTime(3000), 200ms));
        CPPUNIT_ASSERT(old.PromptPause(30'000) == started.PromptPause(30'000));
        CPPUNIT_ASSERT(std::abs(started.TokenMs() - 9) < 1);
--- a/src/forecast/types/forecast_digest.h
+++ b/src/forecast/types/forecast_digest.h
@@ -5,28 +5,28 @@
 #include <cstddef>
 #include <cstdint>
 
+#include "forecast/types/reported_value.h"
 #include "forecast/types/request_sizes.h"
-#include "forecast/types/told_value.h"
 #include "framework/global/types/enum_names.h"
 
 namespace acacialug::forecast {
 
 // What is learned of a service's engines.
 enum class Figure {
-  kPrefillFixedMs,  // of a prompt's time at a prefill endpoint, for any size
-  kPrefillTokenMs,  // and for each of its tokens
-  kOwnPromptTimes,  // a decode endpoint takes so many times that
-  kFirstEventMs,    // from a computed prompt to the first event
-  kPauseMs,         // between two events
-  kPromptPauseMs,   // the same, while a prompt is computed at that endpoint
-  kTokenMs,         // for one token of one stream
-  kCallMs,          // of a plain request, from its sending to its answer
+  kPrefillFixedMs,     // of a prompt's time at a prefill endpoint, for any size
+  kPrefillTokenMs,     // and for each of its tokens
+  kLocalPrefillRatio,  // a decode endpoint takes so many times that
+  kFirstEventMs,       // from a computed prompt to the first event
+  kPauseMs,            // between two events
+  kPromptPauseMs,      // the same, while a prompt is computed at that endpoint
+  kTokenMs,            // for one token of one stream
+  kCallMs,             // of a plain request, from its sending to its answer
 };
 inline constexpr std::size_t kFigures = 8;
 inline constexpr EnumNames<Figure, kFigures> kFigureNames = {
     {{Figure::kPrefillFixedMs, "prefill_fixed_ms"},
      {Figure::kPrefillTokenMs, "prefill_token_ms"},
-     {Figure::kOwnPromptTimes, "own_prompt_times"},
+     {Figure::kLocalPrefillRatio, "own_prompt_times"},
      {Figure::kFirstEventMs, "first_event_ms"},
      {Figure::kPauseMs, "pause_ms"},
      {Figure::kPromptPauseMs, "prompt_pause_ms"},
@@ -34,7 +34,7 @@
      {Figure::kCallMs, "call_ms"}}};
 
 // All of it, for peers.
-using ForecastDigest = std::array<ToldValue, kFigures>;
+using ForecastDigest = std::array<ReportedValue, kFigures>;
 
 // Whether a figure that was learned differs by more than a factor, or was not
 // known in the other. Thread safe.
@@ -42,7 +42,7 @@
             const ForecastDigest& older,
             double factor);
 
-struct ToldForecast {
+struct ForecastReport {
   std::uint64_t service_key = 0;  // hash of the service's name
   ForecastDigest figures;
   RequestSizes sizes;
--- a/src/forecast/types/told_value.h
+++ b/src/forecast/types/reported_value.h
@@ -1,19 +1,19 @@
-#ifndef FORECAST_TYPES_TOLD_VALUE_H_
-#define FORECAST_TYPES_TOLD_VALUE_H_
+#ifndef FORECAST_TYPES_REPORTED_VALUE_H_
+#define FORECAST_TYPES_REPORTED_VALUE_H_
 
 #include <cstdint>
 
 namespace acacialug::forecast {
 
 // A learned value as one process tells it to another.
-struct ToldValue {
+struct ReportedValue {
   double value = 0;
   // 0: nothing was learned, and `value` says nothing.
   std::uint32_t observations = 0;
 
-  friend bool operator==(const ToldValue&, const ToldValue&) = default;
+  friend bool operator==(const ReportedValue&, const ReportedValue&) = default;
 };
 
 }  // namespace acacialug::forecast
 
-#endif  // FORECAST_TYPES_TOLD_VALUE_H_
+#endif  // FORECAST_TYPES_REPORTED_VALUE_H_
--- a/src/gateway/gateway_core.cc
+++ b/src/gateway/gateway_core.cc
@@ -189,7 +189,7 @@
     return pauses;
   }
 
-  std::optional<forecast::ToldForecast> NextForecast() {
+  std::optional<forecast::ForecastReport> NextForecast() {
     auto next = this->services.upper_bound(this->last_told);
     if (next == this->services.end()) {
       next = this->services.begin();
@@ -197,11 +197,11 @@
     // All are looked at once at most.
     for (std::size_t looked = 0; looked < this->services.size(); ++looked) {
       const auto& [service, state] = *next;
-      if (state.forecast.Known()) {
+      if (state.forecast.HasObservations()) {
         this->last_told = service;
-        return forecast::ToldForecast{.service_key = KeyOf(service),
-                                      .figures = state.forecast.Told(),
-                                      .sizes = this->roles.SizesOf(service)};
+        return forecast::ForecastReport{.service_key = KeyOf(service),
+                                        .figures = state.forecast.Report(),
+                                        .sizes = this->roles.SizesOf(service)};
       }
       if (++next == this->services.end()) {
         next = this->services.begin();
@@ -211,7 +211,7 @@
   }
 
   void SetPeerForecast(const std::string& peer,
-                       const forecast::ToldForecast& told) {
+                       const forecast::ForecastReport& told) {
     if (this->routes == nullptr) {
       return;
     }
@@ -431,14 +431,14 @@
   // A line when what is believed of a service's engines has changed by more
   // than a quarter since the last one.
   void NoteForecast(const ServiceName& service, ServiceState& state) const {
-    const forecast::ForecastDigest figures = state.forecast.Told();
+    const forecast::ForecastDigest figures = state.forecast.Report();
     if (!forecast::Differ(figures, state.forecast_noted, kNotedChange)) {
       return;
     }
     state.forecast_noted = figures;
     std::vector<log::Field> fields{{"service", service}};
     for (const auto& [figure, name] : forecast::kFigureNames) {
-      const forecast::ToldValue& told =
+      const forecast::ReportedValue& told =
           figures[static_cast<std::size_t>(figure)];
       if (told.observations > 0) {
         fields.emplace_back(name, told.value);
@@ -531,12 +531,12 @@
   return this->implementation->book.Own();
 }
 
-std::optional<forecast::ToldForecast> GatewayCore::NextForecast() {
+std::optional<forecast::ForecastReport> GatewayCore::NextForecast() {
   return this->implementation->NextForecast();
 }
 
 void GatewayCore::SetPeerForecast(const std::string& peer,
-                                  const forecast::ToldForecast& told) {
+                                  const forecast::ForecastReport& told) {
   this->implementation->SetPeerForecast(peer, told);
 }
 
--- a/src/gateway/gateway_core.h
+++ b/src/gateway/gateway_core.h
@@ -83,9 +83,9 @@
 
   // What this process learned of the services' engines, and what a peer did.
   // Of one service after the other, one with each call; empty: of none yet.
-  std::optional<forecast::ToldForecast> NextForecast();
+  std::optional<forecast::ForecastReport> NextForecast();
   void SetPeerForecast(const std::string& peer,
-                       const forecast::ToldForecast& told);
+                       const forecast::ForecastReport& told);
 
   // Requests under which endpoints ended: what the peers should hear of them
   // (CrashLedger::Tell), what a peer told, and that a peer knows nothing yet.
--- a/src/gateway/internal/role_orders.cc
+++ b/src/gateway/internal/role_orders.cc
@@ -183,8 +183,8 @@
                            std::string result) {
   const forecast::ServiceForecast& forecast =
       this->options.forecast(change.endpoint.service);
-  const forecast::ToldValue prompt_token =
-      forecast.Of(forecast::Figure::kPrefillTokenMs);
+  const forecast::ReportedValue prompt_token =
+      forecast.ForFigure(forecast::Figure::kPrefillTokenMs);
   this->context.hooks.note(
       log::Level::kInfo, "role_ordered",
       {.endpoint = change.endpoint.id,
--- a/src/gateway/internal/stream_relay_decode.cc
+++ b/src/gateway/internal/stream_relay_decode.cc
@@ -77,8 +77,8 @@
   const std::uint64_t held = this->Size().prompt_tokens +
                              std::uint64_t{this->outcome.events} *
                                  this->work.traits->engine->tokens_per_event;
-  const Duration needed =
-      forecast.OwnPromptTime(held) + forecast.FirstEvent() + forecast.Pause();
+  const Duration needed = forecast.LocalPrefillTime(held) +
+                          forecast.FirstEvent() + forecast.Pause();
   const Duration borne =
       FromSeconds(kBorneObjectives / 2 * Seconds(this->work.route->objective));
   return std::max(kLeastSilence, std::min(borne, FromSeconds(kSilenceFactor *
@@ -125,7 +125,8 @@
       this->events_here == 0 ? this->step_at : this->event_at, now);
   if (this->decode_held && this->place->decode_load.prefill_tokens > 0) {
     if (!this->last_event && !own_time) {
-      forecast.NoteOwnPrompt(this->Size().prompt_tokens, now - this->step_at);
+      forecast.NoteLocalPrefill(this->Size().prompt_tokens,
+                                now - this->step_at);
     }
     this->CountOwnPrompt(0);
   } else if (own_time) {
--- a/src/gateway/role_planner.cc
+++ b/src/gateway/role_planner.cc
@@ -103,7 +103,7 @@
   }
   const auto prompt = static_cast<std::uint64_t>(sizes.prompt_tokens);
   const double prefill_ms =
-      1000.0 * Seconds(forecast.ReadingTime(prompt)) * headroom;
+      1000.0 * Seconds(forecast.MarginalPrefillTime(prompt)) * headroom;
   // A place is held from the reservation on, while its prompt is computed.
   const double held_ms =
       1000.0 * Seconds(forecast.PrefillTime(prompt) + forecast.FirstEvent()) +
--- a/src/gateway/stream_placement.cc
+++ b/src/gateway/stream_placement.cc
@@ -96,7 +96,7 @@
                                       const forecast::ServiceForecast& forecast,
                                       std::uint64_t prompt_tokens) const {
   const EndpointLoad load = this->book.Of(endpoint.id);
-  const Duration usual = forecast.ReadingTime(load.prefill_tokens) +
+  const Duration usual = forecast.MarginalPrefillTime(load.prefill_tokens) +
                          forecast.PrefillTime(prompt_tokens);
   return FromSeconds(Seconds(usual) * this->health.Slowness(endpoint.id));
 }
@@ -128,7 +128,7 @@
   if (place.decode_fill > this->options.own_prefill_fill) {
     return false;
   }
-  if (forecast.OwnPromptTime(need.size.prompt_tokens) > place.prefill_time) {
+  if (forecast.LocalPrefillTime(need.size.prompt_tokens) > place.prefill_time) {
     return false;
   }
   return this->book.Of(place.decode.id).requests == 0 ||
@@ -148,7 +148,7 @@
       continue;
     }
     candidates.NotePlaced(*endpoint,
-                          Seconds(forecast.ReadingTime(
+                          Seconds(forecast.MarginalPrefillTime(
                               this->book.Of(endpoint->id).prefill_tokens)));
     if (WasTried(need.tried, endpoint->id) ||
         this->health.Paused(endpoint->id, need.now)) {
--- a/src/gateway_process/gateway_process.cc
+++ b/src/gateway_process/gateway_process.cc
@@ -222,7 +222,7 @@
         .next_forecast = [this] { return this->core.NextForecast(); },
         .on_forecast =
             [this](const std::string& peer,
-                   const forecast::ToldForecast& told) {
+                   const forecast::ForecastReport& told) {
               this->core.SetPeerForecast(peer, told);
             },
         .tell_crashes =
--- a/src/gateway_process/internal/heartbeat_rows.cc
+++ b/src/gateway_process/internal/heartbeat_rows.cc
@@ -70,24 +70,24 @@
 }
 
 protocol::PeerHeartbeat::Forecast ForecastRow(
-    const forecast::ToldForecast& told) {
+    const forecast::ForecastReport& told) {
   protocol::PeerHeartbeat::Forecast row{
       .service_key = told.service_key,
       .prompt_tokens = static_cast<float>(told.sizes.prompt_tokens),
       .output_tokens = static_cast<float>(told.sizes.output_tokens),
       .requests = ByteOf(told.sizes.requests)};
-  for (const forecast::ToldValue& figure : told.figures) {
+  for (const forecast::ReportedValue& figure : told.figures) {
     row.figures.push_back({.value = static_cast<float>(figure.value),
                            .observations = ByteOf(figure.observations)});
   }
   return row;
 }
 
-forecast::ToldForecast ToldOf(const protocol::PeerHeartbeat::Forecast& row) {
-  forecast::ToldForecast told{.service_key = row.service_key,
-                              .sizes = {.prompt_tokens = row.prompt_tokens,
-                                        .output_tokens = row.output_tokens,
-                                        .requests = row.requests}};
+forecast::ForecastReport ToldOf(const protocol::PeerHeartbeat::Forecast& row) {
+  forecast::ForecastReport told{.service_key = row.service_key,
+                                .sizes = {.prompt_tokens = row.prompt_tokens,
+                                          .output_tokens = row.output_tokens,
+                                          .requests = row.requests}};
   const std::size_t known = std::min(row.figures.size(), told.figures.size());
   for (std::size_t at = 0; at < known; ++at) {
     told.figures[at] = {.value = row.figures[at].value,
--- a/src/gateway_process/internal/heartbeat_rows.h
+++ b/src/gateway_process/internal/heartbeat_rows.h
@@ -22,9 +22,9 @@
     const std::vector<protocol::PeerHeartbeat::Quota>& rows);
 
 protocol::PeerHeartbeat::Forecast ForecastRow(
-    const forecast::ToldForecast& told);
+    const forecast::ForecastReport& told);
 // Figures that this process does not know are a newer peer's.
-forecast::ToldForecast ToldOf(const protocol::PeerHeartbeat::Forecast& row);
+forecast::ForecastReport ToldOf(const protocol::PeerHeartbeat::Forecast& row);
 
 // `near`: the sender is of the reader's failure domain.
 gateway::PeerLoad LoadOf(const protocol::PeerHeartbeat& heartbeat, bool near);
--- a/src/gateway_process/peer_link.h
+++ b/src/gateway_process/peer_link.h
@@ -43,9 +43,9 @@
         on_load;
     // What this process learned of one service's engines, each time of another;
     // empty: of none. And what a peer did.
-    std::function<std::optional<forecast::ToldForecast>()> next_forecast;
+    std::function<std::optional<forecast::ForecastReport>()> next_forecast;
     std::function<void(const std::string& peer,
-                       const forecast::ToldForecast& told)>
+                       const forecast::ForecastReport& told)>
         on_forecast;
     // Requests under which endpoints ended: those for a heartbeat, of which
     // the `round`-th is sent; what a peer told; and that a peer is heard that
--- a/src/gateway_process/tests/peer_link_test.cc
+++ b/src/gateway_process/tests/peer_link_test.cc
@@ -63,7 +63,7 @@
               .next_forecast = [this] { return this->learned; },
               .on_forecast =
                   [this](const std::string&,
-                         const forecast::ToldForecast& told) {
+                         const forecast::ForecastReport& told) {
                     this->heard_forecast = told;
                   },
               .tell_crashes =
@@ -133,8 +133,8 @@
   std::map<std::string, gateway::PeerLoad> heard;
   gateway::EndpointPause heard_pause;
   std::set<std::uint64_t> heard_pauses;  // by endpoint
-  std::optional<forecast::ToldForecast> learned;
-  std::optional<forecast::ToldForecast> heard_forecast;
+  std::optional<forecast::ForecastReport> learned;
+  std::optional<forecast::ForecastReport> heard_forecast;
   std::optional<Catalog> taken;
   int takes = 0;
   bool took_configuration = false;
@@ -245,7 +245,7 @@
         [] {
           Peer a("a", FreePort());
           Peer b("b", FreePort());
-          a.learned = forecast::ToldForecast{.service_key = 4};
+          a.learned = forecast::ForecastReport{.service_key = 4};
           a.learned->figures[1] = {.value = 0.0625, .observations = 12};
           b.link.SetMembers({{"a", a.address}});
           WaitUntil("the forecast",
