--- a/src/quota/peer_shares.cc
+++ b/src/quota/peer_shares.cc
@@ -5,83 +5,90 @@
 namespace acacialug::quota {
 namespace {
 
-// Peers are counted again after this time at most; news of them count at once.
-constexpr Duration kCountInterval = 20ms;
+// Interval after which AdvanceTo recounts the peers; reports and listings take
+// effect at once.
+constexpr Duration kUpdateInterval = 20ms;
 
-Duration Part(Duration whole, double share) {
+Duration ScaledDuration(Duration whole, double share) {
   return FromSeconds(Seconds(whole) * share);
 }
 
 }  // namespace
 
-bool PeerShares::Counts(const Peer& peer, Instant now) const {
-  return peer.heard ? now - peer.heard_at < this->options.retention
-                    : now - peer.listed_at < this->options.listed_retention;
+bool PeerShares::IsRetained(const Peer& peer, Instant now) const {
+  return peer.received ? now - peer.last_received_at < this->options.retention
+                       : now - peer.listed_at < this->options.listed_retention;
 }
 
-void PeerShares::Count(Instant now) {
+void PeerShares::UpdatePeers(Instant now) {
   std::erase_if(this->peers, [this, now](const auto& entry) {
-    return !this->Counts(entry.second, now);
+    return !this->IsRetained(entry.second, now);
   });
   const Duration heartbeat_timeout =
       this->options.heartbeat_timeout(this->peers.size());
-  std::size_t silent = 0;
+  std::size_t unresponsive = 0;
   for (auto& [id, peer] : this->peers) {
-    peer.silent = !peer.heard || now - peer.heard_at >= heartbeat_timeout;
-    silent += peer.silent ? 1 : 0;
+    peer.unresponsive =
+        !peer.received || now - peer.last_received_at >= heartbeat_timeout;
+    unresponsive += peer.unresponsive ? 1 : 0;
   }
-  this->heard_count = this->peers.size() - silent;
-  this->SetShare();
+  this->live_count = this->peers.size() - unresponsive;
+  this->UpdateShare();
 }
 
-void PeerShares::SetShare() {
-  this->own_share = static_cast<double>(this->heard_count + 1) /
-                    static_cast<double>(this->peers.size() + 1);
+void PeerShares::UpdateShare() {
+  this->live_share = static_cast<double>(this->live_count + 1) /
+                     static_cast<double>(this->peers.size() + 1);
 }
 
-void PeerShares::Pass(Instant now) {
-  if (this->passed_at == Instant{}) {
-    this->passed_at = now;
+void PeerShares::AdvanceTo(Instant now) {
+  if (this->advanced_at == Instant{}) {
+    this->advanced_at = now;
     return;
   }
-  const Duration passed = now - this->passed_at;
-  if (passed < kCountInterval) {
+  const Duration elapsed = now - this->advanced_at;
+  if (elapsed < kUpdateInterval) {
     return;
   }
-  this->passed_at = now;
-  // Whoever fell silent meanwhile counts as silent all the while.
-  this->Count(now);
-  this->accrued_time += Part(passed, this->own_share);
-  const double each = 1.0 / static_cast<double>(this->peers.size() + 1);
+  this->advanced_at = now;
+  // A peer that became unresponsive during the interval counts as unresponsive
+  // for all of the interval.
+  this->UpdatePeers(now);
+  this->accrued_time += ScaledDuration(elapsed, this->live_share);
+  const double share_of_each =
+      1.0 / static_cast<double>(this->peers.size() + 1);
   for (auto& [id, peer] : this->peers) {
-    peer.withheld += peer.silent ? Part(passed, each) : Duration::zero();
+    peer.withheld += peer.unresponsive ? ScaledDuration(elapsed, share_of_each)
+                                       : Duration::zero();
   }
 }
 
 bool PeerShares::OnPeerReport(const std::string& peer_id,
                               Incarnation incarnation,
                               Instant now) {
-  this->Pass(now);
+  this->AdvanceTo(now);
   Peer& peer = this->peers[peer_id];
-  const bool other_life = !peer.heard || peer.incarnation != incarnation;
-  const bool was_silent = peer.silent || !peer.heard;
+  const bool new_incarnation =
+      !peer.received || peer.incarnation != incarnation;
+  const bool was_unresponsive = peer.unresponsive || !peer.received;
   peer.incarnation = incarnation;
-  peer.heard = true;
-  peer.heard_at = now;
-  if (was_silent) {
+  peer.received = true;
+  peer.last_received_at = now;
+  if (was_unresponsive) {
     this->accrued_time += std::exchange(peer.withheld, Duration::zero());
-    peer.silent = false;
-    ++this->heard_count;
-    this->SetShare();
+    peer.unresponsive = false;
+    ++this->live_count;
+    this->UpdateShare();
   }
-  return other_life;
+  return new_incarnation;
 }
 
 void PeerShares::OnPeerListed(const std::string& peer_id, Instant now) {
-  this->Pass(now);
-  if (this->peers.try_emplace(peer_id, Peer{.listed_at = now, .silent = true})
+  this->AdvanceTo(now);
+  if (this->peers
+          .try_emplace(peer_id, Peer{.listed_at = now, .unresponsive = true})
           .second) {
-    this->SetShare();
+    this->UpdateShare();
   }
 }
 
--- a/src/quota/peer_shares.h
+++ b/src/quota/peer_shares.h
@@ -12,63 +12,65 @@
 
 namespace acacialug::quota {
 
-// Which part of what all processes share is this one's and that of the peers it
-// hears. Peers that have gone silent may be cut off and go on by themselves:
-// the part of each is left to it until it is heard again, and then comes back.
-// Not thread safe; `now` never goes backwards.
+// Computes which fraction of a limit shared by all processes belongs to this
+// process and its live peers. An unresponsive peer may be partitioned and still
+// running: its fraction is withheld until its next report and then credited.
+// Not thread safe; `now` never decreases.
 class PeerShares {
  public:
   struct Options {
-    // After which a peer is silent, with so many of them: two rounds of what
-    // they tell, since one is lost now and then.
+    // Time without a report after which a peer is unresponsive, by the number
+    // of peers: two rounds of reports, since single reports get lost.
     std::function<Duration(std::size_t peers)> heartbeat_timeout =
         [](std::size_t /*peers*/) { return Duration(800ms); };
-    Duration retention = 60s;  // then a silent peer is gone
-    // A peer that was listed and never heard may have just started too.
+    // Time without a report after which a peer is forgotten.
+    Duration retention = 60s;
+    // The same for a listed peer that has never reported: it may have just
+    // started too.
     Duration listed_retention = 5s;
   };
 
   explicit PeerShares(Options share_options)
       : options(std::move(share_options)) {}
 
-  // The peer was heard just now. True: in another life than before, or for the
-  // first time.
+  // Records a report of the peer. Returns whether it is the first one of the
+  // peer or of its incarnation.
   bool OnPeerReport(const std::string& peer,
                     Incarnation incarnation,
                     Instant now);
-  // It is said to be there.
+  // Records that the peer exists according to a listing.
   void OnPeerListed(const std::string& peer, Instant now);
 
-  // Brings time forward. Call it before the others.
-  void Pass(Instant now);
+  // Advances the time to `now`. Call it before the other methods.
+  void AdvanceTo(Instant now);
 
-  // Of the whole, in (0, 1]: this process and the peers that are heard.
-  double share() const { return this->own_share; }
-  std::size_t heard() const { return this->heard_count; }
-  // Time for which the whole would have had to accrue to give what the share
+  // Fraction of the whole, in (0, 1], of this process and its live peers.
+  double share() const { return this->live_share; }
+  std::size_t live_peers() const { return this->live_count; }
+  // Time for which the whole limit would have to accrue to yield what the share
   // accrued since the start.
   Duration accrued() const { return this->accrued_time; }
 
  private:
   struct Peer {
     Incarnation incarnation;
-    Instant heard_at{};
+    Instant last_received_at{};
     Instant listed_at{};
-    Duration withheld{};  // as accrued()
-    bool heard = false;   // ever
-    bool silent = false;
+    Duration withheld{};    // in the time base of accrued()
+    bool received = false;  // any report
+    bool unresponsive = false;
   };
 
-  void Count(Instant now);
-  void SetShare();
-  bool Counts(const Peer& peer, Instant now) const;
+  void UpdatePeers(Instant now);
+  void UpdateShare();
+  bool IsRetained(const Peer& peer, Instant now) const;
 
   const Options options;
   std::map<std::string, Peer> peers;
-  Instant passed_at{};
+  Instant advanced_at{};
   Duration accrued_time{};
-  double own_share = 1;
-  std::size_t heard_count = 0;
+  double live_share = 1;
+  std::size_t live_count = 0;
 };
 
 }  // namespace acacialug::quota
--- a/src/quota/quota_ledger.cc
+++ b/src/quota/quota_ledger.cc
@@ -7,35 +7,38 @@
 namespace acacialug::quota {
 namespace {
 
-// A debt is no longer than this time of the limit, whatever a peer tells.
-constexpr double kLongestDebtSeconds = 8;
-constexpr double kGivenOut = 0.5;  // of what may be taken beyond a limit
+// Bounds a debt to what the limit yields in this time, whatever a peer reports.
+constexpr double kMaxDebtSeconds = 8;
+// Fraction of the tolerance that is granted.
+constexpr double kGrantedTolerance = 0.5;
 
-std::int64_t Whole(double amount) {
+std::int64_t RoundedUnits(double amount) {
   return static_cast<std::int64_t>(std::llround(amount));
 }
 
 }  // namespace
 
 bool QuotaLedger::Settled(Instant now) const {
-  return this->begun != kNever && now - this->begun >= this->options.settling;
+  return this->started_at != kNever &&
+         now - this->started_at >= this->options.settling_time;
 }
 
 double QuotaLedger::RateOf(const Quota& quota) const {
-  return quota.per_second * (1 + kGivenOut * this->options.tolerance.overshoot);
+  return quota.per_second *
+         (1 + kGrantedTolerance * this->options.tolerance.overshoot);
 }
 
-double QuotaLedger::Most(double burst) const {
+double QuotaLedger::MaxLeft(double burst) const {
   const double share = this->shares.share();
-  return share * (burst + kGivenOut * this->options.tolerance.spare) +
-         std::min(share, 1 - share) * (1 - kGivenOut) *
+  return share * (burst + kGrantedTolerance * this->options.tolerance.spare) +
+         std::min(share, 1 - share) * (1 - kGrantedTolerance) *
              this->options.tolerance.spare;
 }
 
-double QuotaLedger::AtStart(double burst) const {
+double QuotaLedger::InitialLeft(double burst) const {
   const double share = this->shares.share();
   return share * this->options.start_share * burst +
-         std::min(share, 1 - share) * (1 - kGivenOut) *
+         std::min(share, 1 - share) * (1 - kGrantedTolerance) *
              this->options.tolerance.spare;
 }
 
@@ -45,9 +48,9 @@
   account.accrued = this->shares.accrued();
   account.quota = quota;
   account.left =
-      std::clamp(account.left + gained, -kLongestDebtSeconds * quota.per_second,
-                 this->Most(quota.burst));
-  const auto live = static_cast<double>(this->shares.heard() + 1);
+      std::clamp(account.left + gained, -kMaxDebtSeconds * quota.per_second,
+                 this->MaxLeft(quota.burst));
+  const auto live = static_cast<double>(this->shares.live_peers() + 1);
   account.promised = std::max(0.0, account.promised - gained / live);
 }
 
@@ -56,28 +59,28 @@
   if (quota.per_second <= 0) {
     return nullptr;
   }
-  if (this->begun == kNever) {
-    this->begun = now;
+  if (this->started_at == kNever) {
+    this->started_at = now;
   }
-  this->shares.Pass(now);
+  this->shares.AdvanceTo(now);
   const auto [found, created] = this->accounts.try_emplace(customer);
   Account& account = found->second;
   if (created) {
     account.number = ++this->last_account;
     account.opened_at = now;
     account.accrued = this->shares.accrued();
-    account.left = this->Settled(now) ? this->Most(quota.burst)
-                                      : this->AtStart(quota.burst);
+    account.left = this->Settled(now) ? this->MaxLeft(quota.burst)
+                                      : this->InitialLeft(quota.burst);
   }
   this->Refill(account, quota);
   return &account;
 }
 
-void QuotaLedger::Use(Account& account, double amount, Instant now) const {
+void QuotaLedger::Charge(Account& account, double amount, Instant now) const {
   account.left -= amount;
-  account.taken += Whole(amount);
+  account.taken += RoundedUnits(amount);
   account.used_at = now;
-  account.told_until = now + this->options.telling;
+  account.report_until = now + this->options.report_duration;
 }
 
 QuotaLedger::Verdict QuotaLedger::Take(CustomerKey customer,
@@ -87,17 +90,19 @@
   if (account == nullptr) {
     return {.granted = true};
   }
-  // One that is larger than all that can be saved up needs just that. A part
-  // of a fleet does not lend itself the rest: all parts would.
-  const double needed = std::min(
-      amount, account->quota.burst + kGivenOut * this->options.tolerance.spare);
+  // A request that exceeds the largest amount that can be saved up needs only
+  // that amount. A part of a partitioned fleet does not borrow the rest, since
+  // every part would do so.
+  const double needed =
+      std::min(amount, account->quota.burst +
+                           kGrantedTolerance * this->options.tolerance.spare);
   Verdict verdict{.granted = account->left >= needed, .left = account->left};
   if (verdict.granted) {
-    this->Use(*account, amount, now);
+    this->Charge(*account, amount, now);
     return verdict;
   }
   const double rate = this->RateOf(account->quota) * this->shares.share();
-  const auto live = static_cast<double>(this->shares.heard() + 1);
+  const auto live = static_cast<double>(this->shares.live_peers() + 1);
   verdict.retry_after =
       FromSeconds((needed - account->left + account->promised * live) / rate);
   account->promised += amount;
@@ -107,39 +112,40 @@
 
 void QuotaLedger::Refund(CustomerKey customer, double amount, Instant now) {
   if (Account* const account = this->Open(customer, now)) {
-    this->Use(*account, -amount, now);
-    account->left = std::min(account->left, this->Most(account->quota.burst));
+    this->Charge(*account, -amount, now);
+    account->left =
+        std::min(account->left, this->MaxLeft(account->quota.burst));
   }
 }
 
 std::vector<QuotaUse> QuotaLedger::CollectReports(std::size_t group,
-                                                  std::size_t most,
+                                                  std::size_t max_reports,
                                                   Instant now) {
   if (this->accounts.empty()) {
     return {};
   }
-  std::vector<std::pair<CustomerKey, Account*>> told;
+  std::vector<std::pair<CustomerKey, Account*>> changed;
   for (auto& [customer, account] : this->accounts) {
-    if (account.told_until > now) {
-      told.emplace_back(customer, &account);
+    if (account.report_until > now) {
+      changed.emplace_back(customer, &account);
     }
   }
-  const std::size_t count = std::min(most, told.size());
-  const auto news = [group](const Account& account) {
-    return std::abs(account.taken - account.told[group]);
+  const std::size_t count = std::min(max_reports, changed.size());
+  const auto change = [group](const Account& account) {
+    return std::abs(account.taken - account.reported[group]);
   };
-  std::partial_sort(told.begin(),
-                    told.begin() + static_cast<std::ptrdiff_t>(count),
-                    told.end(), [&news](const auto& one, const auto& other) {
-                      return news(*one.second) > news(*other.second);
-                    });
-  told.resize(count);
+  std::partial_sort(
+      changed.begin(), changed.begin() + static_cast<std::ptrdiff_t>(count),
+      changed.end(), [&change](const auto& one, const auto& other) {
+        return change(*one.second) > change(*other.second);
+      });
+  changed.resize(count);
   std::vector<QuotaUse> uses;
   uses.reserve(count);
-  this->shares.Pass(now);
-  for (const auto& [customer, account] : told) {
+  this->shares.AdvanceTo(now);
+  for (const auto& [customer, account] : changed) {
     this->Refill(*account, account->quota);
-    account->told[group] = account->taken;
+    account->reported[group] = account->taken;
     uses.push_back({.customer = customer,
                     .account = account->number,
                     .age = now - account->opened_at,
@@ -149,40 +155,43 @@
   return uses;
 }
 
-void QuotaLedger::TakeNews(Peer& peer, const QuotaUse& told, Instant now) {
-  Account* const account = this->Open(told.customer, now);
+void QuotaLedger::ApplyReport(Peer& peer, const QuotaUse& report, Instant now) {
+  Account* const account = this->Open(report.customer, now);
   if (account == nullptr) {
     return;
   }
-  Heard& heard = peer.heard[told.customer];
-  if (heard.account == told.account) {
-    account->left -= static_cast<double>(told.taken - heard.taken);
-  } else if (now - told.age >= peer.since - this->options.settling) {
-    // Opened since the peer is heard, or about when it started.
-    account->left -= static_cast<double>(told.taken);
+  PeerAccount& known = peer.accounts[report.customer];
+  if (known.account == report.account) {
+    account->left -= static_cast<double>(report.taken - known.taken);
+  } else if (now - report.age >=
+             peer.first_received_at - this->options.settling_time) {
+    // Opened after the first report of the peer, or about when the peer
+    // started.
+    account->left -= static_cast<double>(report.taken);
   } else {
-    account->left = std::min(account->left, told.left);
+    account->left = std::min(account->left, report.left);
   }
-  heard = {.account = told.account, .taken = told.taken, .at = now};
+  known = {
+      .account = report.account, .taken = report.taken, .received_at = now};
   account->used_at = now;
   this->Refill(*account, account->quota);
 }
 
 void QuotaLedger::OnPeerReport(const std::string& peer_id,
                                Incarnation incarnation,
-                               const std::vector<QuotaUse>& told,
+                               const std::vector<QuotaUse>& reports,
                                Instant now) {
-  if (this->begun == kNever) {
-    this->begun = now;
+  if (this->started_at == kNever) {
+    this->started_at = now;
   }
   const auto [found, unknown] = this->peers.try_emplace(peer_id);
   Peer& peer = found->second;
   if (this->shares.OnPeerReport(peer_id, incarnation, now) || unknown) {
-    peer = {.since = now};
+    peer = {.first_received_at = now};
   }
-  peer.heard_at = now;
-  for (const QuotaUse& use : told) {
-    this->TakeNews(peer, use, now);
+  peer.last_received_at = now;
+  for (const QuotaUse& report : reports) {
+    this->ApplyReport(peer, report, now);
   }
 }
 
@@ -190,14 +199,14 @@
   std::erase_if(this->accounts, [this, now](const auto& entry) {
     return now - entry.second.used_at >= this->options.retention;
   });
-  const Duration remembered = 2 * this->options.retention;
+  const Duration report_retention = 2 * this->options.retention;
   for (auto& [id, peer] : this->peers) {
-    std::erase_if(peer.heard, [remembered, now](const auto& entry) {
-      return now - entry.second.at >= remembered;
+    std::erase_if(peer.accounts, [report_retention, now](const auto& entry) {
+      return now - entry.second.received_at >= report_retention;
     });
   }
-  std::erase_if(this->peers, [remembered, now](const auto& entry) {
-    return now - entry.second.heard_at >= remembered;
+  std::erase_if(this->peers, [report_retention, now](const auto& entry) {
+    return now - entry.second.last_received_at >= report_retention;
   });
 }
 
--- a/src/quota/quota_ledger.h
+++ b/src/quota/quota_ledger.h
@@ -15,36 +15,40 @@
 
 namespace acacialug::quota {
 
-// Limits of customers that hold over all processes together, with no store
-// between them: each keeps the account of the whole, from what it gave out
-// itself and what its peers tell that they did. What is taken beyond the limit
-// before the news of it come is a debt that all pay. Answers a customer whose
-// requests come to few of the processes, or to all, far beyond its limit.
+// Enforces limits of customers over all processes together, without a shared
+// store: each process keeps an account of the whole, from what it granted
+// itself and what its peers report. Usage beyond the limit that occurs before
+// the reports of it arrive is a debt of all processes. Handles a customer whose
+// requests arrive at few of the processes, or at all, far beyond its limit.
 //
-// Peers that have gone silent go on with their part of the limit, and so does
-// this process; each part has a little of the tolerance beside it, since a part
-// alone may be less than one request. Memory is bounded by the customers that
-// were active lately, at this process or at a peer. Not thread safe; `now`
-// never goes backwards.
+// Unresponsive peers continue with their share of the limit, and so does this
+// process; each share has a little of the tolerance added, since a share alone
+// may be less than one request. Memory is bounded by the number of customers
+// that were recently active at this process or at a peer. Not thread safe;
+// `now` never decreases.
 class QuotaLedger {
  public:
   struct Options {
     std::function<Quota(CustomerKey customer)> quota_of;
-    // Half of it is given out, so that news that come late refuse nobody who
-    // is within the limit. The other half covers what is taken before news of
-    // it come, and the parts of a fleet that is cut.
+    // Half of the tolerance is granted, so that late reports cause no refusal
+    // of a customer within its limit. The other half covers usage whose reports
+    // have not arrived yet, and the shares of a partitioned fleet.
     Tolerance tolerance;
-    // Of the burst, at the start: nobody knows what was taken before.
+    // Fraction of the burst that is available at the start, when earlier usage
+    // is unknown.
     double start_share = 0.5;
-    Duration settling = 2s;  // until a new process has heard its peers
-    Duration telling = 1500ms;
-    // An idle account is closed. What a peer told is remembered for twice as
-    // long: it counts from there until the peer has closed its own.
+    // Time until a new process has received the reports of its peers.
+    Duration settling_time = 2s;
+    // Time for which an account is reported after each change.
+    Duration report_duration = 1500ms;
+    // Time after which an idle account is closed. What a peer reported is kept
+    // for twice this time: the peer's reports count on from that value until
+    // the peer has closed its account.
     Duration retention = 30s;
     PeerShares::Options shares;
   };
 
-  // Groups of peers that are told apart from each other.
+  // Number of peer groups; changes are tracked for each group's reports apart.
   static constexpr std::size_t kGroups = 2;
 
   explicit QuotaLedger(Options ledger_options)
@@ -53,33 +57,34 @@
   struct Verdict {
     bool granted = false;
     double left = 0;  // before the request, by this process's account
-    // Not granted: then it may be asked again. Whoever was told before goes
-    // first, so that each has a time of its own.
+    // If not granted: when to retry. Requests that were refused earlier have
+    // precedence, so that each has a distinct time.
     Duration retry_after{};
   };
 
-  // Takes so much for one request, or nothing. Precondition: amount >= 0.
+  // Takes `amount` for one request, or nothing. Precondition: amount >= 0.
   Verdict Take(CustomerKey customer, double amount, Instant now);
 
-  // What was taken for a request that did not run.
+  // Returns the amount that was taken for a request that did not run.
   void Refund(CustomerKey customer, double amount, Instant now);
 
-  // What the peers of a group should hear, at most `most`: first what changed
-  // most since they heard of it.
+  // Reports for the peers of a group, at most `max_reports`: the accounts
+  // with the largest change since the group's last report.
   std::vector<QuotaUse> CollectReports(std::size_t group,
-                                       std::size_t most,
+                                       std::size_t max_reports,
                                        Instant now);
 
-  // A peer was heard, with what it told; and is said to be there.
+  // Applies the reports of a peer; records that a peer exists according to a
+  // listing.
   void OnPeerReport(const std::string& peer_id,
                     Incarnation incarnation,
-                    const std::vector<QuotaUse>& told,
+                    const std::vector<QuotaUse>& reports,
                     Instant now);
   void OnPeerListed(const std::string& peer, Instant now) {
     this->shares.OnPeerListed(peer, now);
   }
 
-  // Forgets what is over. Call it now and then.
+  // Drops expired accounts, reports and peers. Call it periodically.
   void Sweep(Instant now);
 
   double share() const { return this->shares.share(); }
@@ -91,43 +96,44 @@
     Instant opened_at{};
     Quota quota;
     double left = 0;
-    double promised = 0;  // to those who were refused and may return
+    double promised = 0;  // to refused requests that may be retried
     Duration accrued{};   // PeerShares::accrued() as of `left`
     std::int64_t taken = 0;
-    std::array<std::int64_t, kGroups> told{};
-    Instant told_until{};
+    std::array<std::int64_t, kGroups> reported{};
+    Instant report_until{};
     Instant used_at{};
   };
-  struct Heard {
+  struct PeerAccount {
     std::uint32_t account = 0;
     std::int64_t taken = 0;
-    Instant at{};
+    Instant received_at{};
   };
   struct Peer {
-    Instant since{};  // it is heard in this life
-    Instant heard_at{};
-    std::unordered_map<CustomerKey, Heard> heard;
+    Instant first_received_at{};  // in its present incarnation
+    Instant last_received_at{};
+    std::unordered_map<CustomerKey, PeerAccount> accounts;
   };
 
   // Null: the customer has no limit.
   Account* Open(CustomerKey customer, Instant now);
   void Refill(Account& account, const Quota& quota) const;
   double RateOf(const Quota& quota) const;
-  // That may be saved up, of a burst like this.
-  double Most(double burst) const;
-  // Less of it: all processes may have started, and what they gave out before
-  // is of the same window.
-  double AtStart(double burst) const;
+  // Largest amount that can be saved up with this burst.
+  double MaxLeft(double burst) const;
+  // Amount of a new account until the process has settled. Less than MaxLeft:
+  // all processes may have started, and what they granted before is of the same
+  // window.
+  double InitialLeft(double burst) const;
   bool Settled(Instant now) const;
-  void Use(Account& account, double amount, Instant now) const;
-  void TakeNews(Peer& peer, const QuotaUse& told, Instant now);
+  void Charge(Account& account, double amount, Instant now) const;
+  void ApplyReport(Peer& peer, const QuotaUse& report, Instant now);
 
   const Options options;
   PeerShares shares;
   std::unordered_map<CustomerKey, Account> accounts;
   std::unordered_map<std::string, Peer> peers;
   std::uint32_t last_account = 0;
-  Instant begun = kNever;
+  Instant started_at = kNever;
 };
 
 }  // namespace acacialug::quota
--- a/src/quota/types/quota_use.h
+++ b/src/quota/types/quota_use.h
@@ -8,10 +8,10 @@
 
 namespace acacialug::quota {
 
-// A hash of the customer's name, the same at every process.
+// Hash of the customer's name, equal in all processes.
 using CustomerKey = Number<struct CustomerKeyTag>;
 
-// Of all processes together, in units of whoever counts.
+// Limit over all processes together, in the units that the caller counts.
 struct Quota {
   double per_second = 0;  // zero: no limit
   double burst = 0;
@@ -19,22 +19,22 @@
   friend bool operator==(const Quota&, const Quota&) = default;
 };
 
-// What may be taken beyond each limit in any window: a share of it, and so many
-// of its units.
+// Permitted excess over each limit in any window: a fraction of the limit
+// (`overshoot`) plus a number of its units (`spare`).
 struct Tolerance {
   double overshoot = 0;
   double spare = 0;
 };
 
-// What one process took of a customer's quota, for its peers.
+// Usage of a customer's quota by one process, as reported to its peers.
 struct QuotaUse {
   CustomerKey customer;
-  // Of the teller's account, which is closed when the customer is idle for
-  // long: the number of the account, and how long it is open.
+  // Number and age of the reporter's account, which is closed after a long idle
+  // time of the customer.
   std::uint32_t account = 0;
   Duration age{};
-  std::int64_t taken = 0;  // by the teller, less what was given back
-  double left = 0;         // to all
+  std::int64_t taken = 0;  // by the reporter, net of refunds
+  double left = 0;         // for all processes
 };
 
 }  // namespace acacialug::quota
