--- a/src/forecast/learned_line.cc
+++ b/src/forecast/learned_line.cc
@@ -8,27 +8,30 @@
 namespace acacialug::forecast {
 namespace {
 
-constexpr double kForget = 0.97;         // with each observation
-constexpr double kGreatestFactor = 3.0;  // of what is expected
-// Weight of the present line beside each observation: what holds the parts
-// together when all sizes are alike.
+// Factor on the weights of earlier observations, for each later one.
+constexpr double kDecay = 0.97;
+// Bound on an observation, relative to the expected time.
+constexpr double kMaxFactor = 3.0;
+// Weight of the present line that is added with each observation. It keeps the
+// parts in proportion when all sizes are alike.
 constexpr double kInertia = 0.05;
-// At least this share of a usual time grows with the size. A slope of few
-// scattered points is often far too small: roles were planned for engines of 72
-// tokens a millisecond that read 22.
-constexpr double kLeastGrowing = 0.6;
+// Min share of a usual time that grows with the size. A slope fitted to few
+// scattered points is often far too small: engines of 22 tokens per millisecond
+// had roles planned as if they computed 72.
+constexpr double kMinGrowingShare = 0.6;
 // The prior weighs as much as one observation.
 constexpr double kPriorWeight = 1.0;
-// The line is held at these shares of the mean size.
+// Sizes at which the line is anchored, as fractions of the mean size.
 constexpr double kNear = 0.5;
 constexpr double kFar = 1.5;
-constexpr double kNewestSize = 0.05;
-// Parts are positive, and no larger than a day in microseconds.
-constexpr double kLeast = 1e-6;
-constexpr double kGreatest = 1e11;
+// Weight of the newest size in the mean size.
+constexpr double kNewestSizeWeight = 0.05;
+// Bounds of usable numbers: positive, and at most a day in microseconds.
+constexpr double kMinValue = 1e-6;
+constexpr double kMaxValue = 1e11;
 
 bool IsUsable(double number) {
-  return std::isfinite(number) && number > kLeast && number < kGreatest;
+  return std::isfinite(number) && number > kMinValue && number < kMaxValue;
 }
 
 }  // namespace
@@ -51,7 +54,7 @@
 
 LearnedLine::LearnedLine(const Options& line_options)
     : fixed(line_options.fixed),
-      each(line_options.each),
+      per_unit(line_options.per_unit),
       mean_size(line_options.typical_size) {
   this->PlaceOnLine(kPriorWeight);
 }
@@ -69,13 +72,14 @@
   }
   const double expected = this->At(size);
   const double bounded =
-      std::clamp(time, expected / kGreatestFactor, expected * kGreatestFactor);
-  this->mean_size += kNewestSize * (size - this->mean_size);
-  this->sums.Scale(kForget);
+      std::clamp(time, expected / kMaxFactor, expected * kMaxFactor);
+  this->mean_size += kNewestSizeWeight * (size - this->mean_size);
+  this->sums.Scale(kDecay);
   this->PlaceOnLine(kInertia);
   this->sums.Add(1, size, bounded);
   this->Fit();
-  this->count = std::min(this->count + 1, LearnedValue::kSure);
+  this->count =
+      std::min(this->count + 1, LearnedValue::kSufficientObservations);
 }
 
 void LearnedLine::Fit() {
@@ -89,23 +93,25 @@
   if (!(variance > 0)) {
     return;
   }
-  // Through the mean in any case, with both parts positive.
+  // The line always passes through the mean, with both parts positive.
   const double steepest = mean_of_times / mean_of_sizes;
-  this->each =
-      std::clamp(covariance / variance, kLeastGrowing * steepest, steepest);
-  this->fixed = std::max(kLeast, mean_of_times - this->each * mean_of_sizes);
+  this->per_unit =
+      std::clamp(covariance / variance, kMinGrowingShare * steepest, steepest);
+  this->fixed =
+      std::max(kMinValue, mean_of_times - this->per_unit * mean_of_sizes);
 }
 
-void LearnedLine::Adopt(const ReportedValue& told_fixed,
-                        const ReportedValue& told_each) {
-  if (this->count >= LearnedValue::kSure ||
-      told_each.observations <= this->count || !IsUsable(told_fixed.value) ||
-      !IsUsable(told_each.value)) {
+void LearnedLine::Adopt(const ReportedValue& reported_fixed,
+                        const ReportedValue& reported_per_unit) {
+  if (this->count >= LearnedValue::kSufficientObservations ||
+      reported_per_unit.observations <= this->count ||
+      !IsUsable(reported_fixed.value) || !IsUsable(reported_per_unit.value)) {
     return;
   }
-  this->fixed = told_fixed.value;
-  this->each = told_each.value;
-  this->count = std::min(told_each.observations, LearnedValue::kSure);
+  this->fixed = reported_fixed.value;
+  this->per_unit = reported_per_unit.value;
+  this->count = std::min(reported_per_unit.observations,
+                         LearnedValue::kSufficientObservations);
   this->sums = {};
   this->PlaceOnLine(this->count);
 }
--- a/src/forecast/learned_line.h
+++ b/src/forecast/learned_line.h
@@ -7,36 +7,37 @@
 
 namespace acacialug::forecast {
 
-// A time that grows with the size of the work, time = fixed + each * size, both
-// parts learned from observations: a weighted least-squares fit in which an
-// observation's weight halves with each 23 that follow.
+// Learns a time that grows with the size of the work, time = fixed + per_unit *
+// size. Both parts are a weighted least-squares fit in which the weight of an
+// observation halves with every 23 that follow.
 //
-// With one ratio in place of two parts a short prompt reads as a slow engine,
-// and an engine of 18 tokens a millisecond as one of 12.
+// With one ratio in place of two parts, a short prompt looks like a slow
+// engine, and an engine of 18 tokens per millisecond like one of 12.
 //
-// Sizes that are all alike tell nothing of the parts: then both scale together.
-// An observation of more than three times, or under a third of, what is
-// expected counts as just that. Both parts stay positive numbers, whatever is
-// observed. Not thread safe.
+// Sizes that are all alike do not determine the parts: both scale together
+// then. An observation above three times the expected time, or below a third of
+// the expected time, counts as that bound. Both parts stay positive numbers,
+// whatever is observed. Not thread safe.
 class LearnedLine {
  public:
   struct Options {
     double fixed = 1;  // priors, both > 0
-    double each = 1;
-    double typical_size = 1;  // where the priors are placed; > 0
+    double per_unit = 1;
+    double typical_size = 1;  // around which the priors are placed; > 0
   };
 
   explicit LearnedLine(const Options& line_options);
 
-  // Passed over unless both are positive numbers.
+  // Adds an observation; ignored unless both are positive numbers.
   void Note(double size, double time);
 
-  // What a peer has learned, as LearnedValue::Adopt.
-  void Adopt(const ReportedValue& told_fixed, const ReportedValue& told_each);
+  // Adopts what a peer has learned, under the rules of LearnedValue::Adopt.
+  void Adopt(const ReportedValue& reported_fixed,
+             const ReportedValue& reported_per_unit);
 
-  double At(double size) const { return this->fixed + this->each * size; }
+  double At(double size) const { return this->fixed + this->per_unit * size; }
   double fixed_part() const { return this->fixed; }
-  double each_part() const { return this->each; }
+  double per_unit_part() const { return this->per_unit; }
   std::uint32_t observations() const { return this->count; }
 
  private:
@@ -57,7 +58,7 @@
 
   Sums sums;
   double fixed;
-  double each;
+  double per_unit;
   double mean_size;
   std::uint32_t count = 0;
 };
--- a/src/forecast/learned_value.cc
+++ b/src/forecast/learned_value.cc
@@ -6,11 +6,11 @@
 namespace acacialug::forecast {
 namespace {
 
-// The most that one observation can differ from what is believed, as a factor;
-// beyond it, it is an outlier that tells the direction only.
-constexpr double kGreatestFactor = 4.0;
-// Beyond it the newest weight decides in any case.
-constexpr std::uint32_t kMostCounted = 10'000;
+// Max factor between an observation and the present value. An observation
+// beyond it is an outlier that shows the direction only.
+constexpr double kMaxFactor = 4.0;
+// Beyond this count the newest weight applies in any case.
+constexpr std::uint32_t kMaxCount = 10'000;
 
 bool IsUsable(double number) {
   return std::isfinite(number) && number > 0;
@@ -21,29 +21,29 @@
 LearnedValue::LearnedValue(const Options& value_options)
     : options(value_options), current(value_options.prior) {}
 
-void LearnedValue::Note(double seen) {
-  if (!IsUsable(seen)) {
+void LearnedValue::Note(double observed) {
+  if (!IsUsable(observed)) {
     return;
   }
-  const double most = std::log(kGreatestFactor);
-  const double difference =
-      std::clamp(std::log(seen / this->current), -most, most);
+  const double max_difference = std::log(kMaxFactor);
+  const double difference = std::clamp(std::log(observed / this->current),
+                                       -max_difference, max_difference);
   // The prior weighs as much as one observation.
   const double weight =
       std::max(this->options.newest_weight, 1.0 / (this->count + 2.0));
   this->current = std::clamp(this->current * std::exp(weight * difference),
-                             this->options.least, this->options.greatest);
-  this->count = std::min(this->count + 1, kMostCounted);
+                             this->options.min_value, this->options.max_value);
+  this->count = std::min(this->count + 1, kMaxCount);
 }
 
-void LearnedValue::Adopt(const ReportedValue& told) {
-  if (this->count >= kSure || told.observations <= this->count ||
-      !IsUsable(told.value)) {
+void LearnedValue::Adopt(const ReportedValue& reported) {
+  if (this->count >= kSufficientObservations ||
+      reported.observations <= this->count || !IsUsable(reported.value)) {
     return;
   }
-  this->current =
-      std::clamp(told.value, this->options.least, this->options.greatest);
-  this->count = std::min(told.observations, kSure);
+  this->current = std::clamp(reported.value, this->options.min_value,
+                             this->options.max_value);
+  this->count = std::min(reported.observations, kSufficientObservations);
 }
 
 }  // namespace acacialug::forecast
--- a/src/forecast/learned_value.h
+++ b/src/forecast/learned_value.h
@@ -7,35 +7,37 @@
 
 namespace acacialug::forecast {
 
-// A positive figure that is learned from observations: a speed, a time.
+// Learns a positive figure, such as a speed or a time, from observations.
 //
-// Averages logarithms, since observations are off by factors. The first ones
-// weigh much, so that a wrong prior is gone after some five of them: one off by
-// 2.2 leaves an error of a tenth then. One observation moves the value by a
-// factor of two at most, and by 7 % once there are many: an answer that stalled
-// for a second is not a slow pool. Never NaN, zero, negative or stuck, whatever
-// is observed. Not thread safe.
+// Averages logarithms, since observations are off by factors. The first
+// observations have a high weight, so that about five correct a wrong prior: a
+// prior that is off by a factor of 2.2 leaves an error of a tenth after them.
+// One observation changes the value by a factor of two at most, and by 7 % once
+// there are many: an answer that stalled for a second does not mean a slow
+// pool. The value is never NaN, zero, negative or stuck, whatever is observed.
+// Not thread safe.
 class LearnedValue {
  public:
-  // Observations after which a peer's word is no longer taken for one's own.
-  static constexpr std::uint32_t kSure = 20;
+  // Number of observations from which on values of peers are not adopted.
+  static constexpr std::uint32_t kSufficientObservations = 20;
 
   struct Options {
-    double prior = 1;     // until something is seen; > 0
-    double least = 1e-6;  // the range that is believed, whatever is seen
-    double greatest = 1e6;
+    double prior = 1;         // until the first observation; > 0
+    double min_value = 1e-6;  // bounds of the value, whatever is observed
+    double max_value = 1e6;
     double newest_weight = 0.05;  // of one observation, once there are many
   };
 
   explicit LearnedValue(const Options& value_options);
 
-  // Takes an observation; one that is not a positive number is passed over.
-  void Note(double seen);
+  // Adds an observation; ignored unless it is a positive number.
+  void Note(double observed);
 
-  // Takes what a peer has learned, while it has learned more than this process
-  // and this process is not sure. It counts as no more than kSure observations,
-  // and yields to own ones at their usual weight.
-  void Adopt(const ReportedValue& told);
+  // Adopts the value of a peer that has more observations than this process,
+  // while this process has fewer than kSufficientObservations. The value counts
+  // as at most kSufficientObservations observations, and later own observations
+  // change it at their usual weight.
+  void Adopt(const ReportedValue& reported);
 
   double value() const { return this->current; }
   std::uint32_t observations() const { return this->count; }
--- a/src/forecast/service_forecast.h
+++ b/src/forecast/service_forecast.h
@@ -10,64 +10,65 @@
 
 namespace acacialug::forecast {
 
-// How long work takes at the engines of one service, learned from what this
-// process and its peers have seen of it. What one endpoint differs from the
-// others is not here (gateway::EndpointHealth::Slowness).
+// Predicts how long work takes at the engines of one service, from the
+// observations of this process and its peers. Differences between endpoints are
+// not included; see gateway::EndpointHealth::Slowness.
 //
-// Without it the same constants served every engine: a pool that reads 15
-// prompt tokens a millisecond, half of what they said, was given half of the
-// prefill endpoints that it needs, and its prompts were computed at decode
-// endpoints, where they held up every stream beyond its limit.
+// Constants for all engines fail with a slow pool: one that computes 15 prompt
+// tokens per millisecond, half of the constant, gets half of the prefill
+// endpoints that it needs. Its prompts are then computed at decode endpoints,
+// where they delay every stream beyond its limit.
 //
-// Each figure has a prior, which is that of the engines at the planned size,
-// and gives way to what is seen within some five observations. Not thread safe.
+// Each figure starts from a prior, that of engines of the planned size, which
+// about five observations replace. Not thread safe.
 class ServiceForecast {
  public:
   ServiceForecast();
 
-  // A prefill endpoint computed a prompt in `took`, with `ahead` tokens of
-  // others' prompts not yet computed there when it was asked. Passed over when
-  // more than the prompt itself was ahead: how much of that was done already
-  // is not known.
+  // A prefill endpoint computed a prompt in `took`; at the request, tokens of
+  // other prompts (`tokens_ahead`) were not yet computed there. Ignored if
+  // these are more than the prompt's own: which part of them was already
+  // computed is unknown.
   void NotePrefill(std::uint64_t prompt_tokens,
-                   std::uint64_t ahead,
+                   std::uint64_t tokens_ahead,
                    Duration took);
   // A decode endpoint computed a prompt between the tokens of its streams.
   void NoteLocalPrefill(std::uint64_t prompt_tokens, Duration took);
-  // A decode endpoint was sent a computed prompt, and made its first event.
+  // A decode endpoint received a computed prompt and produced the first event.
   void NoteFirstEvent(Duration took);
-  // Between two events of a stream, which stand for so many tokens;
-  // `prompt_there`: a prompt was computed at its endpoint all the while.
-  void NotePause(Duration pause, std::uint32_t tokens, bool prompt_there);
+  // The time between two events of a stream, which cover `tokens` tokens;
+  // `during_prefill`: its endpoint computed a prompt for all of that time.
+  void NotePause(Duration pause, std::uint32_t tokens, bool during_prefill);
 
   // An endpoint answered a plain request.
   void NoteCall(Duration took);
 
-  // At a prefill endpoint that does nothing else.
+  // At a prefill endpoint without other work.
   Duration PrefillTime(std::uint64_t prompt_tokens) const;
-  // The part of it that grows with the prompt: what is queued there takes that.
+  // The part of PrefillTime that grows with the prompt; queued prompts take
+  // this time.
   Duration MarginalPrefillTime(std::uint64_t prompt_tokens) const;
-  // At a decode endpoint.
+  // PrefillTime at a decode endpoint.
   Duration LocalPrefillTime(std::uint64_t prompt_tokens) const;
   Duration FirstEvent() const;
   Duration Pause() const;
-  // The longest pause that a prompt computed at a decode endpoint causes to its
-  // other streams. No longer than the prompt takes, and than pauses were seen
-  // to be while prompts were computed all along.
+  // The longest pause that a prompt computed at a decode endpoint causes in the
+  // endpoint's other streams. Bounded by the time of the prompt, and by the
+  // observed pauses that lay within the computation of a prompt.
   Duration PromptPause(std::uint64_t prompt_tokens) const;
   double TokenMs() const;
   Duration Call() const;
 
   ReportedValue ForFigure(Figure figure) const;
-  // Anything was learned.
+  // Whether any figure was learned.
   bool HasObservations() const;
   ForecastDigest Report() const;
-  // What a peer told, as LearnedValue::Adopt.
-  void Adopt(const ForecastDigest& told);
+  // Adopts the figures of a peer, under the rules of LearnedValue::Adopt.
+  void Adopt(const ForecastDigest& reported);
 
  private:
   LearnedLine prefill;  // ms by tokens
-  LearnedValue own_prompt;
+  LearnedValue local_prefill_ratio;
   LearnedValue first_event;
   LearnedValue pause;
   LearnedValue prompt_pause;
--- a/src/forecast/tests/learned_line_test.cc
+++ b/src/forecast/tests/learned_line_test.cc
@@ -14,10 +14,10 @@
 using acacialug::testing::It;
 
 constexpr LearnedLine::Options kPrior{.fixed = 20,
-                                      .each = 1.0 / 33,
+                                      .per_unit = 1.0 / 33,
                                       .typical_size = 3000};
 
-// Times of an engine that reads `rate` tokens a millisecond.
+// Adds times of an engine that computes `rate` tokens per millisecond.
 void NoteEngine(LearnedLine& line,
                 double rate,
                 double fixed,
@@ -32,14 +32,15 @@
 
 const acacialug::testing::Story kStory(
     "a learned line",
-    {It("tells what each token takes from what any prompt takes, of engines of "
-        "a third to three times the prior's speed",
+    {It("separates the time per token from the time of any prompt, for engines "
+        "of a third to three times the prior's speed",
         [] {
           for (const double rate : {11.0, 33.0, 99.0}) {
             RandomSource random(5);
             LearnedLine line(kPrior);
             NoteEngine(line, rate, 800 / rate, 60, random);
-            CPPUNIT_ASSERT(std::abs(1 / line.each_part() / rate - 1) < 0.15);
+            CPPUNIT_ASSERT(std::abs(1 / line.per_unit_part() / rate - 1) <
+                           0.15);
           }
         }),
      It("predicts a usual prompt to within a seventh after ten observations",
@@ -49,17 +50,16 @@
           NoteEngine(line, 15, 40, 10, random);
           CPPUNIT_ASSERT(std::abs(line.At(3000) / 240 - 1) < 0.15);
         }),
-     It("follows sizes that are all alike, though they tell nothing of its "
-        "parts",
+     It("follows times of equal sizes, which do not determine its parts",
         [] {
           LearnedLine line(kPrior);
           for (int number = 0; number < 100; ++number) {
             line.Note(3000, 220);
           }
           CPPUNIT_ASSERT(std::abs(line.At(3000) / 220 - 1) < 0.05);
-          CPPUNIT_ASSERT(line.each_part() > 0 && line.fixed_part() > 0);
+          CPPUNIT_ASSERT(line.per_unit_part() > 0 && line.fixed_part() > 0);
         }),
-     It("is not moved far by one answer that stalled",
+     It("changes little with one stalled answer",
         [] {
           RandomSource random(5);
           LearnedLine line(kPrior);
@@ -68,7 +68,7 @@
           line.Note(3000, 60'000);
           CPPUNIT_ASSERT(line.At(3000) < before * 1.15);
         }),
-     It("takes a peer's line while it knows less, and goes on from there",
+     It("adopts a peer's line while it has fewer observations, and learns on",
         [] {
           RandomSource random(5);
           LearnedLine line(kPrior);
@@ -79,35 +79,37 @@
                      {.value = 1, .observations = 500});
           CPPUNIT_ASSERT(std::abs(line.At(3000) - 350) < 1);
           NoteEngine(line, 33, 20, 120, random);
-          CPPUNIT_ASSERT(std::abs(1 / line.each_part() / 33 - 1) < 0.2);
+          CPPUNIT_ASSERT(std::abs(1 / line.per_unit_part() / 33 - 1) < 0.2);
         }),
-     It("has positive parts, whatever is seen or told, and recovers", [] {
-       const double odd[] = {0,
-                             -5,
-                             1,
-                             1e9,
-                             1e-5,
-                             1e300,
-                             std::numeric_limits<double>::quiet_NaN(),
-                             std::numeric_limits<double>::infinity()};
-       RandomSource random(5);
-       const auto draw = [&] {
-         return odd[static_cast<std::size_t>(random.Unit() * std::size(odd))];
-       };
-       LearnedLine line(kPrior);
-       for (int number = 0; number < 20000; ++number) {
-         if (random.Unit() < 0.9) {
-           line.Note(draw(), draw());
-         } else {
-           line.Adopt({.value = draw(), .observations = 9},
-                      {.value = draw(), .observations = 9});
-         }
-         CPPUNIT_ASSERT(line.fixed_part() > 0 && line.each_part() > 0);
-         CPPUNIT_ASSERT(std::isfinite(line.At(3000)));
-       }
-       NoteEngine(line, 33, 20, 2000, random);
-       CPPUNIT_ASSERT(std::abs(line.At(3000) / 111 - 1) < 0.2);
-     })});
+     It("has positive parts for any observations and reports, and recovers",
+        [] {
+          const double odd[] = {0,
+                                -5,
+                                1,
+                                1e9,
+                                1e-5,
+                                1e300,
+                                std::numeric_limits<double>::quiet_NaN(),
+                                std::numeric_limits<double>::infinity()};
+          RandomSource random(5);
+          const auto draw = [&] {
+            return odd[static_cast<std::size_t>(random.Unit() *
+                                                std::size(odd))];
+          };
+          LearnedLine line(kPrior);
+          for (int number = 0; number < 20000; ++number) {
+            if (random.Unit() < 0.9) {
+              line.Note(draw(), draw());
+            } else {
+              line.Adopt({.value = draw(), .observations = 9},
+                         {.value = draw(), .observations = 9});
+            }
+            CPPUNIT_ASSERT(line.fixed_part() > 0 && line.per_unit_part() > 0);
+            CPPUNIT_ASSERT(std::isfinite(line.At(3000)));
+          }
+          NoteEngine(line, 33, 20, 2000, random);
+          CPPUNIT_ASSERT(std::abs(line.At(3000) / 111 - 1) < 0.2);
+        })});
 
 }  // namespace
 }  // namespace acacialug::forecast
--- a/src/forecast/tests/learned_value_test.cc
+++ b/src/forecast/tests/learned_value_test.cc
@@ -13,15 +13,15 @@
 
 using acacialug::testing::It;
 
-void NoteTimes(LearnedValue& value, double seen, int times) {
+void NoteTimes(LearnedValue& value, double observed, int times) {
   for (int number = 0; number < times; ++number) {
-    value.Note(seen);
+    value.Note(observed);
   }
 }
 
 const acacialug::testing::Story kStory(
     "a learned value",
-    {It("leaves a prior that is off by a factor of two within some five "
+    {It("corrects a prior that is off by a factor of two within five "
         "observations",
         [] {
           for (const double truth : {15.0, 33.0, 70.0}) {
@@ -30,14 +30,14 @@
             CPPUNIT_ASSERT(std::abs(value.value() / truth - 1) < 0.15);
           }
         }),
-     It("is not moved far by one answer that stalled",
+     It("changes little with one stalled answer",
         [] {
           LearnedValue value({.prior = 30});
           NoteTimes(value, 30, 30);
           value.Note(0.1);
           CPPUNIT_ASSERT(value.value() > 27);
         }),
-     It("follows engines that turn slow by eight, and back",
+     It("follows engines that slow down by a factor of eight and recover",
         [] {
           LearnedValue value({.prior = 32});
           NoteTimes(value, 32, 50);
@@ -46,7 +46,8 @@
           NoteTimes(value, 32, 80);
           CPPUNIT_ASSERT(value.value() > 28);
         }),
-     It("takes a peer's word while it knows less, and trusts its own eyes",
+     It("adopts a peer's value while it has few observations, and then follows "
+        "its own",
         [] {
           LearnedValue value({.prior = 33});
           value.Note(20);
@@ -54,14 +55,15 @@
           CPPUNIT_ASSERT(value.value() < 33);
           value.Adopt({.value = 15, .observations = 4000});
           CPPUNIT_ASSERT_EQUAL(15.0, value.value());
-          CPPUNIT_ASSERT_EQUAL(LearnedValue::kSure, value.observations());
+          CPPUNIT_ASSERT_EQUAL(LearnedValue::kSufficientObservations,
+                               value.observations());
           value.Adopt({.value = 90, .observations = 5000});
           CPPUNIT_ASSERT_EQUAL(15.0, value.value());
           NoteTimes(value, 30, 100);
           CPPUNIT_ASSERT(value.value() > 28);
         }),
      It("stays a positive number within its range, and never gets stuck, "
-        "whatever is seen or told",
+        "for any observations and reports",
         [] {
           const double odd[] = {0,
                                 -1,
@@ -72,14 +74,15 @@
                                 std::numeric_limits<double>::denorm_min(),
                                 1e-300};
           RandomSource random(3);
-          LearnedValue value({.prior = 33, .least = 0.5, .greatest = 2000});
+          LearnedValue value(
+              {.prior = 33, .min_value = 0.5, .max_value = 2000});
           for (int number = 0; number < 20000; ++number) {
-            const double seen =
+            const double observed =
                 odd[static_cast<std::size_t>(random.Unit() * std::size(odd))];
             if (random.Unit() < 0.5) {
-              value.Note(seen);
+              value.Note(observed);
             } else {
-              value.Adopt({.value = seen,
+              value.Adopt({.value = observed,
                            .observations = static_cast<std::uint32_t>(
                                random.Unit() * 4e9)});
             }
--- a/src/forecast/tests/service_forecast_test.cc
+++ b/src/forecast/tests/service_forecast_test.cc
@@ -17,19 +17,19 @@
 
 const acacialug::testing::Story kStory(
     "the forecast of a service",
-    {It("learns how fast prompts are read, also with a prompt ahead",
+    {It("learns the prefill speed, also with another prompt ahead",
         [] {
           ServiceForecast forecast;
           for (int number = 0; number < 20; ++number) {
             forecast.NotePrefill(3000, 0, 230ms);
             forecast.NotePrefill(1500, 0, 130ms);
-            // Half of the prompt ahead is done on average.
+            // Half of the prompt ahead is computed on average.
             forecast.NotePrefill(3000, 2000, 297ms);
           }
           CPPUNIT_ASSERT(Near(forecast.PrefillTime(6000), 430ms));
           CPPUNIT_ASSERT(Near(forecast.MarginalPrefillTime(1500), 100ms));
         }),
-     It("learns nothing of the reading speed from a long queue",
+     It("learns no prefill speed from a long queue",
         [] {
           ServiceForecast forecast;
           forecast.NotePrefill(1000, 20000, 300ms);
@@ -37,8 +37,8 @@
           CPPUNIT_ASSERT_EQUAL(
               0U, forecast.ForFigure(Figure::kPrefillTokenMs).observations);
         }),
-     It("tells a prompt's time at a decode endpoint from that at a prefill "
-        "endpoint, from the first",
+     It("predicts a prompt's time at a decode endpoint apart from that at a "
+        "prefill endpoint, from the start",
         [] {
           ServiceForecast forecast;
           CPPUNIT_ASSERT(Near(forecast.LocalPrefillTime(3000),
@@ -48,19 +48,19 @@
           }
           CPPUNIT_ASSERT(Near(forecast.LocalPrefillTime(3000), 900ms));
         }),
-     It("expects a pause beside a prompt to last no longer than the prompt",
+     It("predicts no longer pause during a prompt than the prompt takes",
         [] {
           ServiceForecast forecast;
-          const Duration most =
+          const Duration max_pause =
               forecast.Pause() + forecast.LocalPrefillTime(3000);
-          CPPUNIT_ASSERT(most == forecast.PromptPause(3000));
+          CPPUNIT_ASSERT(max_pause == forecast.PromptPause(3000));
           for (int number = 0; number < 20; ++number) {
             forecast.NotePause(150ms, 11, true);
           }
           CPPUNIT_ASSERT(Near(forecast.PromptPause(30'000), 188ms));
           CPPUNIT_ASSERT(forecast.PromptPause(100) < 150ms);
         }),
-     It("is known to a process that has just started, from its peers", [] {
+     It("is adopted from peers by a process that has just started", [] {
        ServiceForecast old;
        for (int number = 0; number < 20; ++number) {
          old.NotePrefill(3000, 0, 200ms);
--- a/src/forecast/types/forecast_digest.h
+++ b/src/forecast/types/forecast_digest.h
@@ -11,14 +11,14 @@
 
 namespace acacialug::forecast {
 
-// What is learned of a service's engines.
+// Quantities that are learned about a service's engines.
 enum class Figure {
-  kPrefillFixedMs,     // of a prompt's time at a prefill endpoint, for any size
-  kPrefillTokenMs,     // and for each of its tokens
-  kLocalPrefillRatio,  // a decode endpoint takes so many times that
+  kPrefillFixedMs,     // of any prompt at a prefill endpoint, whatever its size
+  kPrefillTokenMs,     // in addition, for each token of the prompt
+  kLocalPrefillRatio,  // time at a decode endpoint over that prefill time
   kFirstEventMs,       // from a computed prompt to the first event
   kPauseMs,            // between two events
-  kPromptPauseMs,      // the same, while a prompt is computed at that endpoint
+  kPromptPauseMs,      // the same, while that endpoint computes a prompt
   kTokenMs,            // for one token of one stream
   kCallMs,             // of a plain request, from its sending to its answer
 };
@@ -33,11 +33,11 @@
      {Figure::kTokenMs, "token_ms"},
      {Figure::kCallMs, "call_ms"}}};
 
-// All of it, for peers.
+// All figures, as reported to peers.
 using ForecastDigest = std::array<ReportedValue, kFigures>;
 
-// Whether a figure that was learned differs by more than a factor, or was not
-// known in the other. Thread safe.
+// Returns whether a learned figure of `newer` differs from that of `older` by
+// more than `factor`, or has no observations in `older`. Thread safe.
 bool Differ(const ForecastDigest& newer,
             const ForecastDigest& older,
             double factor);
--- a/src/forecast/types/reported_value.h
+++ b/src/forecast/types/reported_value.h
@@ -5,10 +5,10 @@
 
 namespace acacialug::forecast {
 
-// A learned value as one process tells it to another.
+// A learned value as one process reports it to another.
 struct ReportedValue {
   double value = 0;
-  // 0: nothing was learned, and `value` says nothing.
+  // 0: nothing was learned, and `value` has no meaning.
   std::uint32_t observations = 0;
 
   friend bool operator==(const ReportedValue&, const ReportedValue&) = default;
--- a/src/forecast/types/request_sizes.h
+++ b/src/forecast/types/request_sizes.h
@@ -5,11 +5,11 @@
 
 namespace acacialug::forecast {
 
-// Mean sizes of the requests for a service that came to one process lately.
+// Mean sizes of the recent requests for a service at one process.
 struct RequestSizes {
   double prompt_tokens = 0;
   double output_tokens = 0;    // expected
-  std::uint32_t requests = 0;  // that the means stand for
+  std::uint32_t requests = 0;  // that the means cover
 
   friend bool operator==(const RequestSizes&, const RequestSizes&) = default;
 };
