--- a/src/entry/internal/generation_forecast.cc
+++ b/src/entry/internal/generation_forecast.cc
@@ -86,7 +86,7 @@
 placement::PlacementNeed GenerationMachine::PrefillNeed(Instant now) const {
   return {.prompt_tokens = this->PromptTokens(),
           .prefix = this->prefix,
-          .piece_tokens = this->terms.service->piece_tokens,
+          .block_tokens = this->terms.service->piece_tokens,
           .repeated = this->repeats > 0,
           .tried = this->prefill.tried,
           .now = now};
--- a/src/entry/internal/generation_machine.cc
+++ b/src/entry/internal/generation_machine.cc
@@ -154,7 +154,7 @@
   // Asking it now would only be refused; but an export that is about to be
   // evicted may get a transfer window that others were refused.
   const bool may_pass =
-      this->ExportAlive(now) && view->HasRoom(this->KvTokens());
+      this->ExportAlive(now) && view->HasCapacity(this->KvTokens());
   if (this->free_in > Duration::zero() && !may_pass) {
     return false;
   }
--- a/src/entry_process/entry_process.cc
+++ b/src/entry_process/entry_process.cc
@@ -217,7 +217,7 @@
           .seed = this->random.Next(),
           .on_renewed =
               [this](int index,
-                     const std::vector<heartbeat::TellRenewed>& renewed) {
+                     const std::vector<heartbeat::RenewalReport>& renewed) {
                 this->OnShard(index, [renewed](Shard& shard) {
                   shard.OnRenewed(renewed);
                 });
--- a/src/entry_process/internal/heartbeats.cc
+++ b/src/entry_process/internal/heartbeats.cc
@@ -129,7 +129,7 @@
   for (const heartbeat::SendHeartbeat& action : this->sender.TakeHeartbeats()) {
     this->Send(action);
   }
-  for (heartbeat::TellRenewed& renewed : this->sender.TakeRenewals()) {
+  for (heartbeat::RenewalReport& renewed : this->sender.TakeRenewals()) {
     this->renewals[renewed.shard].push_back(std::move(renewed));
   }
   if (!this->renewals.empty() && !this->tell_timer.isActive()) {
--- a/src/entry_process/internal/heartbeats.h
+++ b/src/entry_process/internal/heartbeats.h
@@ -31,7 +31,7 @@
     std::uint64_t seed = 0;
     // Run on the main thread; bring what they tell to the shards.
     std::function<void(int shard,
-                       const std::vector<heartbeat::TellRenewed>& renewed)>
+                       const std::vector<heartbeat::RenewalReport>& renewed)>
         on_renewed;
     std::function<void(Duration interval)> on_interval;
     std::function<void(LogOffset offset)> on_manifest_heard;
@@ -67,7 +67,7 @@
   QObject context;
   QTimer timer;
   QTimer tell_timer;
-  std::map<int, std::vector<heartbeat::TellRenewed>> renewals;  // by shard
+  std::map<int, std::vector<heartbeat::RenewalReport>> renewals;  // by shard
   Instant armed_for = kNever;
   Duration told_interval{};
   bool within_budget = true;
--- a/src/entry_process/internal/shard.cc
+++ b/src/entry_process/internal/shard.cc
@@ -143,7 +143,7 @@
   this->Feed([this](Instant now) { this->core.BeginDrain(now); });
 }
 
-void Shard::OnRenewed(const std::vector<heartbeat::TellRenewed>& renewed) {
+void Shard::OnRenewed(const std::vector<heartbeat::RenewalReport>& renewed) {
   this->Feed([&](Instant now) {
     for (const auto& [shard, endpoint, renewal] : renewed) {
       if (renewal.load) {
--- a/src/entry_process/internal/shard.h
+++ b/src/entry_process/internal/shard.h
@@ -59,7 +59,7 @@
   void SetLeavingHosts(const std::set<HostId>& hosts);
   void BeginDrain();
   // Heartbeats of the process renewed sessions of this shard.
-  void OnRenewed(const std::vector<heartbeat::TellRenewed>& renewed);
+  void OnRenewed(const std::vector<heartbeat::RenewalReport>& renewed);
   void SetRenewInterval(Duration interval);
 
  private:
--- a/src/heartbeat/heartbeat_sender.cc
+++ b/src/heartbeat/heartbeat_sender.cc
@@ -246,14 +246,14 @@
       continue;  // ended at the agent: it must lapse here too
     }
     const auto& [shard, name] = sent.sessions[index];
-    TellRenewed told{.shard = shard,
-                     .endpoint = endpoint,
-                     .renewal = {.session = name,
-                                 .sent_at = sent.at,
-                                 .round_trip = now - sent.at,
-                                 .lease = answer.lease,
-                                 .newest = newest,
-                                 .leaving = answer.leaving}};
+    RenewalReport told{.shard = shard,
+                       .endpoint = endpoint,
+                       .renewal = {.session = name,
+                                   .sent_at = sent.at,
+                                   .round_trip = now - sent.at,
+                                   .lease = answer.lease,
+                                   .newest = newest,
+                                   .leaving = answer.leaving}};
     if (answer.has_load && newest) {
       told.renewal.load = answer.load;
     }
@@ -265,7 +265,7 @@
   return std::exchange(this->heartbeats, {});
 }
 
-std::vector<TellRenewed> HeartbeatSender::TakeRenewals() {
+std::vector<RenewalReport> HeartbeatSender::TakeRenewals() {
   return std::exchange(this->renewals, {});
 }
 
--- a/src/heartbeat/heartbeat_sender.h
+++ b/src/heartbeat/heartbeat_sender.h
@@ -33,7 +33,7 @@
 
 // To be told to the shard, whose own clock check decides whether the session
 // still stands.
-struct TellRenewed {
+struct RenewalReport {
   int shard = 0;
   EndpointId endpoint;
   SessionRenewal renewal;
@@ -79,7 +79,7 @@
   Instant next_timer() const;
 
   std::vector<SendHeartbeat> TakeHeartbeats();
-  std::vector<TellRenewed> TakeRenewals();
+  std::vector<RenewalReport> TakeRenewals();
 
   // That the budget asks for, with the sessions open now.
   Duration interval() const;
@@ -138,7 +138,7 @@
   std::uint32_t last_sequence = 0;
   LogOffset manifest;
   std::vector<SendHeartbeat> heartbeats;
-  std::vector<TellRenewed> renewals;
+  std::vector<RenewalReport> renewals;
 };
 
 }  // namespace acacialug::heartbeat
--- a/src/placement/bench/placement_bench.cc
+++ b/src/placement/bench/placement_bench.cc
@@ -47,7 +47,7 @@
   const PlacementNeed need{.kv_tokens = 9000,
                            .prompt_tokens = 8000,
                            .prefix = prefix,
-                           .piece_tokens = 2048,
+                           .block_tokens = 2048,
                            .tried = tried,
                            .now = Instant(2s)};
   while (state.KeepRunning()) {
--- a/src/placement/endpoint_view.cc
+++ b/src/placement/endpoint_view.cc
@@ -37,7 +37,7 @@
          this->corrections[this->first].sent_at + this->round_trip <= now) {
     this->DropOldest();
   }
-  if (this->HasRoom(this->full_tokens)) {
+  if (this->HasCapacity(this->full_tokens)) {
     this->full_until = {};
   }
 }
@@ -78,7 +78,7 @@
   return this->load.limit == 0 ? this->options.slots : this->load.limit;
 }
 
-bool EndpointView::HasRoom(std::uint64_t kv_tokens) const {
+bool EndpointView::HasCapacity(std::uint64_t kv_tokens) const {
   const std::uint32_t limit = this->Limit();
   // A decode endpoint reports its reservations as queued.
   const std::uint64_t running =
@@ -100,7 +100,7 @@
   if (now < this->full_until && kv_tokens >= this->full_tokens) {
     return this->full_until - now;
   }
-  if (this->HasRoom(kv_tokens)) {
+  if (this->HasCapacity(kv_tokens)) {
     return Duration::zero();
   }
   // Each stream sent since the report takes one of the coming places.
--- a/src/placement/endpoint_view.h
+++ b/src/placement/endpoint_view.h
@@ -55,7 +55,7 @@
 
   // Whether a decode stream of that size has room by the last report, whatever
   // was refused since.
-  bool HasRoom(std::uint64_t kv_tokens) const;
+  bool HasCapacity(std::uint64_t kv_tokens) const;
 
   // Time until a decode stream of that size may start; zero: now.
   Duration SlotWait(std::uint64_t kv_tokens, Instant now) const;
--- a/src/placement/prefill_picker.cc
+++ b/src/placement/prefill_picker.cc
@@ -45,7 +45,7 @@
                                      const EndpointView& view,
                                      std::size_t shared) const {
   const double own = Seconds(view.PrefillTime(need.prompt_tokens));
-  const double saved = Seconds(view.PrefillTime(shared * need.piece_tokens));
+  const double saved = Seconds(view.PrefillTime(shared * need.block_tokens));
   if (need.repeated) {
     return FromSeconds(kRepeatWorth * saved);
   }
@@ -94,12 +94,12 @@
 double PrefillPicker::CachedTokens(const PlacementNeed& need,
                                    const EndpointView& view) const {
   const std::size_t pieces = this->memory.PiecesAt(need.prefix, view.Key());
-  return this->trust * static_cast<double>(pieces * need.piece_tokens);
+  return this->trust * static_cast<double>(pieces * need.block_tokens);
 }
 
 double PrefillPicker::CachedTokensAnywhere(const PlacementNeed& need) const {
   const std::size_t pieces = this->memory.Longest(need.prefix).pieces;
-  return this->trust * static_cast<double>(pieces * need.piece_tokens);
+  return this->trust * static_cast<double>(pieces * need.block_tokens);
 }
 
 void PrefillPicker::Learn(double expected, double cached) {
--- a/src/placement/prefix_hasher.cc
+++ b/src/placement/prefix_hasher.cc
@@ -6,8 +6,8 @@
 
 protocol::PrefixChain HashPrefix(const ModelName& model,
                                  std::string_view prompt_text,
-                                 std::uint32_t piece_tokens) {
-  const std::size_t piece_bytes = piece_tokens * kBytesPerToken;
+                                 std::uint32_t block_tokens) {
+  const std::size_t piece_bytes = block_tokens * kBytesPerToken;
   protocol::PrefixChain chain;
   chain.reserve(prompt_text.size() / piece_bytes);
   std::uint64_t hash = HashText(model.text);
--- a/src/placement/tests/placement_test.cc
+++ b/src/placement/tests/placement_test.cc
@@ -113,7 +113,7 @@
                picker.Pick(pool.usable,
                            {.prompt_tokens = 6000,
                             .prefix = prefix,
-                            .piece_tokens = 2000,
+                            .block_tokens = 2000,
                             .repeated = row.repeated,
                             .now = pool.now},
                            pool.random);
@@ -170,7 +170,7 @@
           const protocol::PrefixChain prefix = {11, 12, 13};
           const PlacementNeed need{.prompt_tokens = 100,
                                    .prefix = prefix,
-                                   .piece_tokens = 30,
+                                   .block_tokens = 30,
                                    .now = pool.now};
           EndpointView* const first = here.Pick(pool.usable, need, pool.random);
           CPPUNIT_ASSERT(there.Pick(pool.usable, need, pool.random) == first);
--- a/src/placement/types/pick_rule.h
+++ b/src/placement/types/pick_rule.h
@@ -20,7 +20,7 @@
   std::uint64_t kv_tokens = 0;      // decode
   std::uint64_t prompt_tokens = 0;  // prefill
   std::span<const std::uint64_t> prefix;
-  std::uint32_t piece_tokens = 0;  // prompt tokens of each piece of `prefix`
+  std::uint32_t block_tokens = 0;  // prompt tokens of each piece of `prefix`
   bool repeated = false;           // this request's prompt was computed before
   std::span<const std::uint64_t> tried;  // keys of endpoints not to repeat
   Instant now{};
