--- a/src/heartbeat/heartbeat_budget.cc
+++ b/src/heartbeat/heartbeat_budget.cc
@@ -6,7 +6,8 @@
 
 Duration HeartbeatBudget::Interval(double bytes_per_round) const {
   const double seconds = bytes_per_round / this->options.bytes_per_second;
-  // Bounded before it becomes an integer: the bytes have no bound.
+  // Clamped before the conversion to an integer, as bytes_per_round is
+  // unbounded.
   const double bounded = std::min(seconds, Seconds(this->options.longest));
   return std::max(FromSeconds(bounded), this->options.shortest);
 }
--- a/src/heartbeat/heartbeat_budget.h
+++ b/src/heartbeat/heartbeat_budget.h
@@ -7,32 +7,33 @@
 
 namespace acacialug::heartbeat {
 
-// A session's lease in intervals between its renewals: two may be lost.
+// The length of a session's lease in renewal intervals: two consecutive
+// renewals may be lost.
 inline constexpr int kIntervalsPerLease = 3;
 
-// What a renewal by frames costs, both ways: 34 and 87 bytes of frames, and
-// three TCP segments (the answer's acknowledgement is one) with headers of 52
-// bytes. TLS is not in it.
+// The bytes of a renewal by frames, both directions together: frames of 34 and
+// 87 bytes, and three TCP segments (one is the acknowledgement of the answer)
+// with headers of 52 bytes. TLS overhead is not included.
 inline constexpr double kFrameRenewalBytes = 34 + 87 + 3 * 52;
 
-// How often sessions may be renewed within a budget of bytes, sent and
+// Computes how often sessions may be renewed within a budget of bytes, sent and
 // received together. Immutable, so thread safe.
 class HeartbeatBudget {
  public:
   struct Options {
     double bytes_per_second = 6000;  // the control budget of one node
-    Duration shortest = 1s;          // however few the peers are
-    Duration longest = 10s;          // bounds the lease, whatever they cost
+    Duration shortest = 1s;          // lower bound, however few peers there are
+    Duration longest = 10s;  // upper bound, also of the lease, at any cost
   };
 
-  // Precondition: shortest is not above longest, bytes_per_second above zero.
+  // Precondition: shortest <= longest and bytes_per_second > 0.
   explicit HeartbeatBudget(Options budget_options) : options(budget_options) {}
 
-  // Between two renewals of one session, when one round of all of them costs
-  // `bytes_per_round`.
+  // The time between two renewals of one session, when renewing all sessions
+  // once takes `bytes_per_round`.
   Duration Interval(double bytes_per_round) const;
 
-  // False: even at the longest interval the rounds cost more.
+  // False if the renewals exceed the budget even at the longest interval.
   bool Holds(double bytes_per_round) const;
 
   Duration longest() const { return this->options.longest; }
--- a/src/heartbeat/heartbeat_sender.cc
+++ b/src/heartbeat/heartbeat_sender.cc
@@ -7,37 +7,41 @@
 namespace acacialug::heartbeat {
 namespace {
 
-// An answer that comes after three later heartbeats would renew nothing.
+// The number of unanswered heartbeats kept per agent. An answer that arrives
+// after three later heartbeats would renew nothing.
 constexpr std::size_t kMaxSent = 4;
-// A heartbeat without an answer is followed by another so soon, twice.
+// An unanswered heartbeat is followed by another after this delay, at most
+// kResends times in a row.
 constexpr Duration kResendAfter = 1s;
 constexpr std::uint32_t kResends = 2;
-// Agents hear of a newer manifest within this, their interval or not. Spread,
-// so that they do not all read the log at once.
-constexpr Duration kNewsWithin = 500ms;
+// Agents are informed of a newer manifest within this time, regardless of their
+// interval. The heartbeats are spread over it, so that the agents do not all
+// read the log at once.
+constexpr Duration kMaxManifestDelay = 500ms;
 constexpr double kWeightOfNewest = 0.01;
 constexpr double kBytesPerListedSession = sizeof(std::uint32_t);
 
-// Heartbeats go out in turns, four a second or four an interval: a thread that
-// wakes costs more than the datagrams that it then sends and reads.
-constexpr Duration kLongestTurn = 250ms;
-constexpr int kTurnsPerInterval = 4;
+// Heartbeats are batched into ticks, four per second or four per interval,
+// whichever is more frequent: waking the thread costs more than the datagrams
+// that it then sends and reads.
+constexpr Duration kMaxTick = 250ms;
+constexpr int kTicksPerInterval = 4;
 
-Duration TurnLength(Duration interval) {
-  return std::max(std::min(interval / kTurnsPerInterval, kLongestTurn),
+Duration TickLength(Duration interval) {
+  return std::max(std::min(interval / kTicksPerInterval, kMaxTick),
                   Duration(1));
 }
 
-// The turn that `at` belongs to.
-Instant TurnOf(Instant at, Duration interval) {
-  const Duration turn = TurnLength(interval);
-  return Instant(at.time_since_epoch() / turn * turn);
+// The start of the tick that contains `at`.
+Instant TickOf(Instant at, Duration interval) {
+  const Duration tick = TickLength(interval);
+  return Instant(at.time_since_epoch() / tick * tick);
 }
 
-// The first turn that is `interval` or more after that of `at`.
-Instant TurnAfter(Instant at, Duration interval) {
-  const Duration turn = TurnLength(interval);
-  return TurnOf(at, interval) + (interval + turn - Duration(1)) / turn * turn;
+// The first tick that is `interval` or more after the tick of `at`.
+Instant TickAfter(Instant at, Duration interval) {
+  const Duration tick = TickLength(interval);
+  return TickOf(at, interval) + (interval + tick - Duration(1)) / tick * tick;
 }
 
 double WireBytes(const std::string& datagram) {
@@ -53,7 +57,7 @@
       random(random_source),
       empty_heartbeat_bytes(WireBytes(
           protocol::Encode(protocol::Heartbeat{.entry = this->options.entry}))),
-      // Until answers have come: as if each told of a new load.
+      // Before the first answer, assumes that each answer contains a load.
       answer_bytes(WireBytes(
           protocol::Encode(protocol::HeartbeatAnswer{.has_load = true}))) {}
 
@@ -75,11 +79,11 @@
   peer.lease = std::max(peer.lease, session.lease);
   ++(session.by_datagram ? this->datagram_sessions : this->frame_sessions);
   if (session.by_datagram && peer.due == kNever) {
-    // Spread: all sessions of a starting entry open in the same moment.
+    // Spread, since all sessions of a starting entry open at the same moment.
     const Duration interval = this->IntervalOf(peer);
     const Duration spread =
         FromSeconds(Seconds(interval) / 2 * this->random.Unit());
-    this->SetDue(session.endpoint, peer, TurnOf(now + spread, interval));
+    this->SetDue(session.endpoint, peer, TickOf(now + spread, interval));
   }
 }
 
@@ -118,8 +122,8 @@
   this->manifest = offset;
   for (auto& [endpoint, peer] : this->peer_of) {
     const Duration spread =
-        FromSeconds(Seconds(kNewsWithin) * this->random.Unit());
-    const Instant soon = TurnOf(now + spread, this->IntervalOf(peer));
+        FromSeconds(Seconds(kMaxManifestDelay) * this->random.Unit());
+    const Instant soon = TickOf(now + spread, this->IntervalOf(peer));
     if (peer.due != kNever && soon < peer.due) {
       this->SetDue(endpoint, peer, soon);
     }
@@ -154,11 +158,12 @@
     Instant now) const {
   std::vector<std::pair<int, SessionName>> listed;
   for (const auto& [shard, session] : peer.sessions) {
-    // One of an earlier start of the agent ends with its connection.
-    const bool counts =
+    // A session of an earlier incarnation of the agent ends with its
+    // connection.
+    const bool renewable =
         session.by_datagram && session.name.agent == peer.agent &&
         (!this->options.shard_runs || this->options.shard_runs(shard, now));
-    if (counts && listed.size() < protocol::kMaxHeartbeatSessions) {
+    if (renewable && listed.size() < protocol::kMaxHeartbeatSessions) {
       listed.emplace_back(shard, session.name);
     }
   }
@@ -173,7 +178,7 @@
             .manifest = this->manifest,
             .sessions = this->Listed(peer, now)};
   if (sent.sessions.empty()) {
-    this->SetDue(endpoint, peer, TurnAfter(now, interval));
+    this->SetDue(endpoint, peer, TickAfter(now, interval));
     return;
   }
   sent.sequence = ++this->last_sequence;
@@ -190,10 +195,10 @@
   if (peer.sent.size() > kMaxSent) {
     peer.sent.pop_front();
   }
-  const bool again = ++peer.unanswered <= kResends;
+  const bool resend = ++peer.unanswered <= kResends;
   this->SetDue(
       endpoint, peer,
-      TurnAfter(now, again ? std::min(interval, kResendAfter) : interval));
+      TickAfter(now, resend ? std::min(interval, kResendAfter) : interval));
   this->heartbeats.push_back(
       {.endpoint = endpoint, .heartbeat = std::move(heartbeat)});
 }
@@ -225,9 +230,9 @@
     peer.load_seen = answer.has_load ? answer.sequence : peer.load_seen;
     peer.lease = answer.lease;
     const Instant next =
-        std::max(now, TurnAfter(sent.at, this->IntervalOf(peer)));
-    // One that was sent before a newer manifest came must not put off the one
-    // that is to tell of it.
+        std::max(now, TickAfter(sent.at, this->IntervalOf(peer)));
+    // The answer to a heartbeat from before a newer manifest must not delay the
+    // heartbeat that announces this manifest.
     this->SetDue(
         endpoint->second, peer,
         sent.manifest < this->manifest ? std::min(next, peer.due) : next);
@@ -243,21 +248,21 @@
                             Instant now) {
   for (std::size_t index = 0; index < sent.sessions.size(); ++index) {
     if (((answer.renewed >> index) & 1U) == 0) {
-      continue;  // ended at the agent: it must lapse here too
+      continue;  // ended at the agent: it must expire here too
     }
     const auto& [shard, name] = sent.sessions[index];
-    RenewalReport told{.shard = shard,
-                       .endpoint = endpoint,
-                       .renewal = {.session = name,
-                                   .sent_at = sent.at,
-                                   .round_trip = now - sent.at,
-                                   .lease = answer.lease,
-                                   .newest = newest,
-                                   .leaving = answer.leaving}};
+    RenewalReport report{.shard = shard,
+                         .endpoint = endpoint,
+                         .renewal = {.session = name,
+                                     .sent_at = sent.at,
+                                     .round_trip = now - sent.at,
+                                     .lease = answer.lease,
+                                     .newest = newest,
+                                     .leaving = answer.leaving}};
     if (answer.has_load && newest) {
-      told.renewal.load = answer.load;
+      report.renewal.load = answer.load;
     }
-    this->renewals.push_back(std::move(told));
+    this->renewals.push_back(std::move(report));
   }
 }
 
@@ -290,7 +295,8 @@
   return this->budget.Holds(this->BytesPerRound());
 }
 
-// The agent has a budget of its own; its lease tells what both need.
+// The agent has a byte budget of its own; the lease it grants reflects both
+// budgets.
 Duration HeartbeatSender::IntervalOf(const Peer& peer) const {
   return peer.lease > Duration::zero() ? peer.lease / kIntervalsPerLease
                                        : this->interval();
--- a/src/heartbeat/heartbeat_sender.h
+++ b/src/heartbeat/heartbeat_sender.h
@@ -17,13 +17,13 @@
 
 namespace acacialug::heartbeat {
 
-// A session that a shard has open.
+// An open session of a shard.
 struct OpenSession {
   int shard = 0;
   EndpointId endpoint;
   SessionName name;
-  Duration lease{};         // of its Welcome
-  bool by_datagram = true;  // false: its renewals are frames, and only counted
+  Duration lease{};         // from its Welcome
+  bool by_datagram = true;  // false: renewed by frames; only counted here
 };
 
 struct SendHeartbeat {
@@ -31,45 +31,47 @@
   protocol::Heartbeat heartbeat;
 };
 
-// To be told to the shard, whose own clock check decides whether the session
-// still stands.
+// Reports a renewal to the shard. The shard decides by its own clock check
+// whether the session is still valid.
 struct RenewalReport {
   int shard = 0;
   EndpointId endpoint;
   SessionRenewal renewal;
 };
 
-// The heartbeats of an entry's process, one an agent for the sessions of all
-// its shards, without sockets, threads or a clock. Not thread safe; `now`
-// never goes backwards.
+// Schedules the heartbeats of an entry process: one heartbeat per agent renews
+// the sessions of all shards with that agent. Has no sockets, threads or clock
+// of its own. Not thread safe; `now` never goes backwards.
 //
-// A heartbeat that gets lost costs no session: two more follow within seconds,
-// and the shard renews by frames when half of its lease is over.
+// A lost heartbeat does not end a session: two more follow within seconds, and
+// the shard renews by frames once half of its lease has elapsed.
 class HeartbeatSender {
  public:
   struct Options {
     EntryId entry;
     Incarnation incarnation;
     HeartbeatBudget::Options budget;
-    // False: the shard stands still. Its sessions are then left out, and lapse
-    // as they would if it renewed them itself. Empty: all shards run.
+    // False: the shard is stalled. Its sessions are then left out of the
+    // heartbeats and expire, as they would if the shard renewed them itself.
+    // Empty: all shards are taken to run.
     std::function<bool(int shard, Instant now)> shard_runs;
   };
 
   // `random_source` outlives this object.
   HeartbeatSender(Options sender_options, RandomSource& random_source);
 
-  // Replaces what the shard had open with that endpoint.
+  // Replaces an open session of the same shard with that endpoint.
   void OnOpened(const OpenSession& session, Instant now);
-  // Unknown is no error.
+  // Does nothing when the session is unknown.
   void OnClosed(int shard, const EndpointId& endpoint);
 
-  // A newer manifest is in force here. Every agent hears of it within seconds,
-  // however long the interval: agents hear of manifests from entries alone.
+  // A newer manifest is active in this process. Every agent is informed within
+  // seconds, however long the interval is: agents learn of new manifests only
+  // from entries.
   void OnManifest(LogOffset offset, Instant now);
 
-  // `bytes`: of the datagram. False: the answer is late, doubled, forged or of
-  // another start, and changes nothing.
+  // `bytes` is the size of the datagram. Returns false if the answer is late, a
+  // duplicate, forged or from another incarnation; it then changes nothing.
   bool OnAnswer(const protocol::HeartbeatAnswer& answer,
                 std::size_t bytes,
                 Instant now);
@@ -81,9 +83,9 @@
   std::vector<SendHeartbeat> TakeHeartbeats();
   std::vector<RenewalReport> TakeRenewals();
 
-  // That the budget asks for, with the sessions open now.
+  // The interval that the budget requires for the currently open sessions.
   Duration interval() const;
-  // False: the budget is exceeded even at the longest interval.
+  // False if the budget is exceeded even at the longest interval.
   bool within_budget() const;
   bool Knows(const EndpointId& endpoint) const {
     return this->peer_of.contains(endpoint);
@@ -99,15 +101,15 @@
     std::uint32_t sequence = 0;
     Instant at;
     LogOffset manifest;
-    std::vector<std::pair<int, SessionName>> sessions;  // in the order listed
+    std::vector<std::pair<int, SessionName>> sessions;  // in the order sent
   };
   struct Peer {
     std::map<int, Session> sessions;  // by shard
     Incarnation agent;                // of the newest session
     Duration lease{};
     Instant due = kNever;
-    std::deque<Sent> sent;         // the newest few, not yet answered
-    std::uint32_t unanswered = 0;  // in a row
+    std::deque<Sent> sent;         // the latest unanswered ones, up to kMaxSent
+    std::uint32_t unanswered = 0;  // consecutive heartbeats without an answer
     std::uint32_t newest_answer = 0;
     std::uint32_t load_seen = 0;
   };
--- a/src/heartbeat/load_digest.cc
+++ b/src/heartbeat/load_digest.cc
@@ -7,24 +7,28 @@
 namespace {
 
 constexpr double kMaterialShare = 1.0 / 8;
-// Times below this decide nothing: they are within one round of a decision.
+// Smaller differences in time do not affect placement: they are within one
+// round of a decision.
 constexpr double kMaterialSeconds = 0.05;
 
-bool Differs(double known, double current, double least) {
+bool Differs(double known, double current, double min_difference) {
   const double scale = std::max(std::abs(known), std::abs(current));
-  return std::abs(known - current) >= std::max(least, scale * kMaterialShare);
+  return std::abs(known - current) >=
+         std::max(min_difference, scale * kMaterialShare);
 }
 
 bool Differs(Duration known, Duration current) {
   return Differs(Seconds(known), Seconds(current), kMaterialSeconds);
 }
 
-// Measured against the whole, so that a nearly empty endpoint does not tell
-// of each request.
-bool DiffersOf(std::uint64_t whole, std::uint64_t known, std::uint64_t now) {
+// Compares the difference with the total rather than with the values, so that a
+// nearly empty endpoint does not report each request.
+bool DiffersRelativeTo(std::uint64_t total,
+                       std::uint64_t known,
+                       std::uint64_t now) {
   const std::uint64_t difference = known > now ? known - now : now - known;
   return difference > 0 && static_cast<double>(difference) >=
-                               static_cast<double>(whole) * kMaterialShare;
+                               static_cast<double>(total) * kMaterialShare;
 }
 
 }  // namespace
@@ -34,10 +38,10 @@
   return known.leaving != current.leaving || known.limit != current.limit ||
          known.total_kv_tokens != current.total_kv_tokens ||
          (known.queued == 0) != (current.queued == 0) ||
-         DiffersOf(current.total_kv_tokens, known.free_kv_tokens,
-                   current.free_kv_tokens) ||
-         DiffersOf(current.limit, known.running, current.running) ||
-         DiffersOf(current.limit, known.queued, current.queued) ||
+         DiffersRelativeTo(current.total_kv_tokens, known.free_kv_tokens,
+                           current.free_kv_tokens) ||
+         DiffersRelativeTo(current.limit, known.running, current.running) ||
+         DiffersRelativeTo(current.limit, known.queued, current.queued) ||
          Differs(known.work_ahead, current.work_ahead) ||
          Differs(known.next_slot_in, current.next_slot_in) ||
          Differs(Seconds(known.token_interval), Seconds(current.token_interval),
--- a/src/heartbeat/load_digest.h
+++ b/src/heartbeat/load_digest.h
@@ -5,10 +5,10 @@
 
 namespace acacialug::heartbeat {
 
-// Whether an entry that places work by `known` may place it differently by
-// `current`: an eighth of a limit, of the memory or of a rate, or a queue that
-// begins or ends. Less than that is left to the answers of requests. Thread
-// safe.
+// Whether an entry that knows the load `known` may place work differently when
+// it knows `current`: a change by an eighth of a limit, of the memory or of a
+// rate, or a queue that begins or ends. Entries learn of smaller changes from
+// the answers to requests. Thread safe.
 bool ChangedMaterially(const protocol::EndpointLoad& known,
                        const protocol::EndpointLoad& current);
 
--- a/src/heartbeat/tests/heartbeat_sender_test.cc
+++ b/src/heartbeat/tests/heartbeat_sender_test.cc
@@ -24,7 +24,7 @@
           .renewed = ~std::uint64_t{0} >> (64 - heartbeat.sessions.size())};
 }
 
-// A sender in virtual time, with the sessions of two shards open.
+// A sender in virtual time, with open sessions of two shards.
 struct Bench {
   RandomSource random{1};
   Instant now{1h};
@@ -46,7 +46,7 @@
                            .lease = 3s},
                           this->now);
   }
-  // Waits for the next heartbeat.
+  // Advances to the next heartbeat and returns it.
   protocol::Heartbeat Next() {
     CPPUNIT_ASSERT(this->sender.next_timer() != kNever);
     this->now = std::max(this->now, this->sender.next_timer());
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sent.size());
     return sent.front().heartbeat;
   }
-  bool Hear(const protocol::HeartbeatAnswer& answer) {
+  bool Deliver(const protocol::HeartbeatAnswer& answer) {
     return this->sender.OnAnswer(answer, 68, this->now);
   }
 };
@@ -67,9 +67,9 @@
 };
 
 const testing::Story kSender(
-    "the heartbeats of an entry's process",
-    {It("renew the sessions of all its shards with one datagram, from its "
-        "sending on",
+    "the heartbeats of an entry process",
+    {It("renew the sessions of all shards with one datagram, counted from its "
+        "sending time",
         [] {
           Bench bench;
           const protocol::Heartbeat heartbeat = bench.Next();
@@ -77,7 +77,7 @@
                          (std::vector<std::uint32_t>{10, 11}));
           const Instant sent_at = bench.now;
           bench.now += 20ms;
-          CPPUNIT_ASSERT(bench.Hear(Answer(heartbeat)));
+          CPPUNIT_ASSERT(bench.Deliver(Answer(heartbeat)));
           const auto renewals = bench.sender.TakeRenewals();
           CPPUNIT_ASSERT_EQUAL(std::size_t{2}, renewals.size());
           CPPUNIT_ASSERT_EQUAL(1, renewals[1].shard);
@@ -85,18 +85,19 @@
           CPPUNIT_ASSERT(renewals[1].renewal.lease == 3s);
           CPPUNIT_ASSERT(bench.sender.next_timer() == sent_at + 1s);
         }),
-     // Symptom: an entry acts on a reservation that its agent gave away.
-     // Sequence: an answer comes that does not speak of what the entry holds
-     // now. Cause: it was counted for the session that stands in its place.
+     // Symptom: an entry uses a reservation that its agent has released.
+     // Sequence: an answer arrives that does not refer to the sessions that the
+     // entry has now. Cause: the answer is counted for the session that
+     // replaced the one it refers to.
      ForEach<AnswerRow>(
-         "are not answered by what is",
-         {{"doubled",
+         "renew only sessions that the answer covers, when the answer is",
+         {{"a duplicate",
            [](Bench& bench, protocol::HeartbeatAnswer& answer) {
-             bench.Hear(answer);
+             bench.Deliver(answer);
              bench.sender.TakeRenewals();
            },
            0},
-          {"of another start of the agent",
+          {"from another incarnation of the agent",
            [](Bench&, protocol::HeartbeatAnswer& answer) {
              answer.agent = Incarnation(8);
            },
@@ -116,18 +117,18 @@
              answer.renewed = 0;
            },
            0},
-          {"for one of them only",
+          {"for only one of the sessions",
            [](Bench&, protocol::HeartbeatAnswer& answer) {
              answer.renewed = 2;
            },
            1},
-          {"of a session that has closed",
+          {"for sessions that are closed",
            [](Bench& bench, protocol::HeartbeatAnswer&) {
              bench.sender.OnClosed(0, kEndpoint);
              bench.sender.OnClosed(1, kEndpoint);
            },
            0},
-          {"of the agent's start before this",
+          {"from the previous incarnation of the agent",
            [](Bench& bench, protocol::HeartbeatAnswer&) {
              bench.Open(0, 10, Incarnation(8));
            },
@@ -137,32 +138,32 @@
            Bench bench;
            protocol::HeartbeatAnswer answer = Answer(bench.Next());
            row.change(bench, answer);
-           bench.Hear(answer);
+           bench.Deliver(answer);
            CPPUNIT_ASSERT_EQUAL(row.renewals,
                                 bench.sender.TakeRenewals().size());
          }),
-     It("give an overtaken answer its own sending time, and no say on the load",
+     It("take the sending time, but not the load, from an overtaken answer",
         [] {
           Bench bench;
           const protocol::Heartbeat first = bench.Next();
           const Instant first_at = bench.now;
           const protocol::Heartbeat second = bench.Next();
-          bench.Hear(Answer(second));
+          bench.Deliver(Answer(second));
           bench.sender.TakeRenewals();
           protocol::HeartbeatAnswer late = Answer(first);
           late.has_load = true;
-          CPPUNIT_ASSERT(bench.Hear(late));
+          CPPUNIT_ASSERT(bench.Deliver(late));
           const auto renewals = bench.sender.TakeRenewals();
           CPPUNIT_ASSERT(renewals.front().renewal.sent_at == first_at);
           CPPUNIT_ASSERT(!renewals.front().renewal.load);
           CPPUNIT_ASSERT(!renewals.front().renewal.newest);
         }),
-     It("follow one that got lost sooner than the interval, but not for ever",
+     It("are resent sooner than the interval after a loss, but only twice",
         [] {
           Bench bench;
           protocol::HeartbeatAnswer answer = Answer(bench.Next());
           answer.lease = 30s;
-          bench.Hear(answer);
+          bench.Deliver(answer);
           Instant before = bench.now;
           const auto gap = [&] {
             bench.Next();
@@ -173,25 +174,25 @@
           CPPUNIT_ASSERT(gap() == 1s);
           CPPUNIT_ASSERT(gap() == 10s);
         }),
-     It("name the newest load that came",
+     It("contain the sequence of the answer with the latest load",
         [] {
           Bench bench;
           protocol::HeartbeatAnswer answer = Answer(bench.Next());
           answer.has_load = true;
           answer.load.running = 3;
-          bench.Hear(answer);
+          bench.Deliver(answer);
           CPPUNIT_ASSERT_EQUAL(
               std::uint32_t{3},
               bench.sender.TakeRenewals().front().renewal.load->running);
           const protocol::Heartbeat next = bench.Next();
           CPPUNIT_ASSERT_EQUAL(answer.sequence, next.load_seen);
-          bench.Hear(Answer(next));
+          bench.Deliver(Answer(next));
           CPPUNIT_ASSERT_EQUAL(answer.sequence, bench.Next().load_seen);
         }),
-     // Symptom: engine memory stays held for a shard that hangs. Sequence: one
-     // thread of an entry stands still, the one with the heartbeats does not.
-     // Cause: it renewed the sessions of a holder that no longer acts.
-     It("leave out the sessions of a shard that stands still",
+     // Symptom: engine memory stays reserved for a shard that hangs. Sequence:
+     // one thread of an entry stalls, while the thread that sends the
+     // heartbeats runs. Cause: the sessions of the stalled shard are renewed.
+     It("leave out the sessions of a stalled shard",
         [] {
           Bench bench;
           bench.runs[0] = false;
@@ -205,26 +206,25 @@
           CPPUNIT_ASSERT(bench.Next().sessions ==
                          std::vector<std::uint32_t>{10});
         }),
-     // Symptom: a configuration is in force at an agent only after ten
-     // seconds. Sequence: the interval is long, and a manifest comes right
-     // after a heartbeat. Cause: agents hear of it by heartbeats only.
-     It("bring the news of a manifest within seconds, however long the "
-        "interval",
+     // Symptom: a configuration becomes active at an agent only after ten
+     // seconds. Sequence: the interval is long, and a manifest arrives right
+     // after a heartbeat. Cause: agents learn of a manifest by heartbeats only.
+     It("announce a manifest within seconds, however long the interval is",
         [] {
           Bench bench;
           protocol::HeartbeatAnswer answer = Answer(bench.Next());
           answer.lease = 30s;
-          bench.Hear(answer);
+          bench.Deliver(answer);
           const protocol::Heartbeat before = bench.Next();
           const Instant published = bench.now;
           bench.sender.OnManifest(LogOffset(9), bench.now);
           answer = Answer(before);
           answer.lease = 30s;
-          bench.Hear(answer);  // of one that did not tell of it
+          bench.Deliver(answer);  // to a heartbeat that did not announce it
           CPPUNIT_ASSERT(bench.Next().manifest == LogOffset(9));
           CPPUNIT_ASSERT(bench.now <= published + 2s);
         }),
-     It("stop with the last session", [] {
+     It("stop when the last session closes", [] {
        Bench bench;
        bench.sender.OnClosed(0, kEndpoint);
        bench.sender.OnClosed(1, kEndpoint);
@@ -233,8 +233,9 @@
        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, bench.sender.peers());
      })});
 
-// Plays the answers of `peers` agents for many rounds, and returns the bytes
-// that went both ways in a second of the last ones, headers included.
+// Simulates the answers of `peers` agents for many rounds, and returns the
+// bytes per second, both directions and headers included, over the last 20
+// rounds.
 double BytesPerSecond(int peers, HeartbeatSender& sender) {
   Instant now{1h};
   for (int i = 0; i < peers; ++i) {
@@ -252,7 +253,7 @@
   while (sender.next_timer() < end || now < settled) {
     now = std::max(now, sender.next_timer());
     sender.OnTimer(now);
-    // Whole rounds, from when the interval has settled.
+    // Whole rounds, starting once the interval has settled.
     end = now < settled ? settled + 20 * sender.interval() : end;
     for (const SendHeartbeat& sent : sender.TakeHeartbeats()) {
       protocol::HeartbeatAnswer answer = Answer(sent.heartbeat);
@@ -274,24 +275,24 @@
   const char* name;
   int peers;
   Duration longest;
-  double least_bytes;  // a second
-  double most_bytes;
-  Duration least_interval;
-  Duration most_interval;
+  double min_bytes;  // per second
+  double max_bytes;
+  Duration min_interval;
+  Duration max_interval;
   bool within;
 };
 
 const testing::Story kBudgeted(
     "the byte budget of an entry",
     {ForEach<SizeRow>(
-        "is held with",
-        {{"today's fourteen endpoints, at 1 s", 14, 10s, 2000, 3200, 1s, 1s,
+        "is kept, or reported as exceeded, with",
+        {{"fourteen endpoints, at 1 s", 14, 10s, 2000, 3200, 1s, 1s, true},
+         {"8 endpoints in each of 18 pools", 144, 10s, 5000, 6000, 3s, 5s,
           true},
-         {"8 of each of 18 pools", 144, 10s, 5000, 6000, 3s, 5s, true},
-         {"64 of each of 18 pools, when its bound is longer", 1152, 40s, 5000,
-          6000, 30s, 40s, true},
-         {"but not with them within 10 s", 1152, 10s, 15000, 25000, 10s, 10s,
-          false}},
+         {"64 endpoints in each of 18 pools, kept at up to 40 s", 1152, 40s,
+          5000, 6000, 30s, 40s, true},
+         {"64 endpoints in each of 18 pools, exceeded at up to 10 s", 1152, 10s,
+          15000, 25000, 10s, 10s, false}},
         [](const SizeRow& row) { return row.name; },
         [](const SizeRow& row) {
           RandomSource random(1);
@@ -302,9 +303,9 @@
           const double bytes = BytesPerSecond(row.peers, sender);
           CPPUNIT_ASSERT_MESSAGE(
               std::to_string(bytes),
-              bytes >= row.least_bytes && bytes <= row.most_bytes);
-          CPPUNIT_ASSERT(sender.interval() >= row.least_interval &&
-                         sender.interval() <= row.most_interval);
+              bytes >= row.min_bytes && bytes <= row.max_bytes);
+          CPPUNIT_ASSERT(sender.interval() >= row.min_interval &&
+                         sender.interval() <= row.max_interval);
           CPPUNIT_ASSERT_EQUAL(row.within, sender.within_budget());
         })});
 
--- a/src/heartbeat/types/session_renewal.h
+++ b/src/heartbeat/types/session_renewal.h
@@ -10,8 +10,8 @@
 
 namespace acacialug::heartbeat {
 
-// Names one session: its agent's start and the number in its Welcome, which
-// an agent gives once only.
+// Identifies one session: the agent's incarnation and the session number from
+// its Welcome. An agent assigns each number only once.
 struct SessionName {
   Incarnation agent;
   std::uint32_t number = 0;
@@ -19,16 +19,17 @@
   friend auto operator<=>(const SessionName&, const SessionName&) = default;
 };
 
-// A heartbeat's answer, as one session hears of it. The instants are of this
+// What the answer to a heartbeat means for one session. Instants are by this
 // process's clock.
 struct SessionRenewal {
   SessionName session;
-  Instant sent_at;  // of the heartbeat: the lease counts from here
+  Instant sent_at;  // of the heartbeat; the lease starts here
   Duration round_trip{};
   Duration lease{};
-  bool newest = false;  // nothing later was answered: what follows holds
+  // No later heartbeat is answered, so the fields below are current.
+  bool newest = false;
   bool leaving = false;
-  std::optional<protocol::EndpointLoad> load;  // empty: not changed much
+  std::optional<protocol::EndpointLoad> load;  // empty: no material change
 };
 
 }  // namespace acacialug::heartbeat
