--- a/src/placement/bench/placement_bench.cc
+++ b/src/placement/bench/placement_bench.cc
@@ -10,7 +10,7 @@
 namespace acacialug::placement {
 namespace {
 
-// A working set with loads that differ, as reports leave them.
+// A working set of endpoints with different reported loads.
 struct Pool {
   explicit Pool(std::size_t size) {
     for (std::size_t index = 0; index < size; ++index) {
--- a/src/placement/decode_picker.cc
+++ b/src/placement/decode_picker.cc
@@ -6,9 +6,9 @@
 namespace acacialug::placement {
 namespace {
 
-// Tokens of an answer whose pace is weighed against a wait for a slot.
+// The number of tokens whose generation time is added to the wait for a slot.
 constexpr std::int64_t kTokensWeighed = 8;
-constexpr std::size_t kMostSampled = 16;
+constexpr std::size_t kMaxSampled = 16;
 
 using Cost = std::function<double(const EndpointView&, const PlacementNeed&)>;
 
@@ -30,21 +30,21 @@
   return best;
 }
 
-// Draws without repetition until enough untried endpoints are found; the
-// number of draws is bounded, and a pool that is nearly all tried is walked
-// instead.
+// Draws without repetition until enough untried endpoints are found. The number
+// of draws is bounded; when almost all endpoints of the pool were tried, all
+// candidates are scanned instead.
 PickRule PickCheapestSampled(std::uint32_t wanted, Cost cost) {
-  const std::size_t sampled = std::min<std::size_t>(wanted, kMostSampled);
+  const std::size_t sampled = std::min<std::size_t>(wanted, kMaxSampled);
   return [sampled, cost = std::move(cost)](
              Candidates candidates, const PlacementNeed& need,
              RandomSource& random) -> EndpointView* {
     if (candidates.size() <= sampled + need.tried.size()) {
       return Cheapest(candidates, need, cost);
     }
-    std::array<EndpointView*, kMostSampled> drawn{};
+    std::array<EndpointView*, kMaxSampled> drawn{};
     std::size_t count = 0;
-    const std::size_t most_draws = 4 * sampled + need.tried.size();
-    for (std::size_t draw = 0; draw < most_draws && count < sampled; ++draw) {
+    const std::size_t max_draws = 4 * sampled + need.tried.size();
+    for (std::size_t draw = 0; draw < max_draws && count < sampled; ++draw) {
       EndpointView* const view = candidates[random.Below(candidates.size())];
       const auto end = drawn.begin() + static_cast<std::ptrdiff_t>(count);
       if (!need.Tried(*view) && std::find(drawn.begin(), end, view) == end) {
--- a/src/placement/decode_picker.h
+++ b/src/placement/decode_picker.h
@@ -7,23 +7,24 @@
 
 namespace acacialug::placement {
 
-// Few sampled endpoints, the best predicted one of them: time until a slot is
-// free, the way there and back, and the pace of its tokens (power of two
-// choices; Prequal, NSDI 2024). Cost: O(sampled).
+// Samples a few endpoints and picks the one with the best prediction from the
+// time until a slot is free, the round-trip time and the token interval (power
+// of two choices; Prequal, NSDI 2024). Cost: O(sampled).
 PickRule PickDecodeByPrediction(std::uint32_t sampled);
 
-// The endpoint that is predicted free soonest; null when all were tried.
-// Cost: O(candidates).
+// The endpoint that is predicted to have a free slot first; null when all were
+// tried. Cost: O(candidates).
 EndpointView* SoonestFree(Candidates candidates, const PlacementNeed& need);
 
-// The same for calls of a plain service: occupancy times measured latency,
-// plus the way there and back.
+// Like PickDecodeByPrediction, for calls of a plain service. Predicts by the
+// work ahead, the round-trip time, and the measured latency scaled by the
+// occupancy.
 PickRule PickCallByPrediction(std::uint32_t sampled);
 
-// The baselines that the bench compares with.
+// Baselines that the bench compares with.
 PickRule PickRandom();
 PickRule PickRoundRobin();
-// Least load by the last report, however old and uncorrected.
+// Least load by the last report, regardless of its age and without corrections.
 PickRule PickLeastReported();
 
 }  // namespace acacialug::placement
--- a/src/placement/endpoint_view.cc
+++ b/src/placement/endpoint_view.cc
@@ -10,10 +10,10 @@
 
 constexpr double kLatencyWeight = 0.2;
 constexpr double kRoundTripWeight = 0.2;
-// Time that an agent needs to answer, on top of the way there and back.
+// Time that an agent needs to answer, in addition to the network round trip.
 constexpr Duration kAnswerTime = 1ms;
-// A full endpoint is not expected free before this.
-constexpr Duration kShortestWait = 2ms;
+// The minimum time until a full endpoint is expected to have a free slot.
+constexpr Duration kMinWait = 2ms;
 
 }  // namespace
 
@@ -43,10 +43,10 @@
 }
 
 void EndpointView::NoteSent(const SentWork& work, Instant now) {
-  if (this->count == kCorrections) {
+  if (this->count == kMaxCorrections) {
     this->DropOldest();
   }
-  const std::size_t slot = (this->first + this->count) % kCorrections;
+  const std::size_t slot = (this->first + this->count) % kMaxCorrections;
   this->corrections[slot] = {.sent_at = now, .work = work};
   ++this->count;
   this->sum.kv_tokens += work.kv_tokens;
@@ -57,7 +57,7 @@
   const SentWork& work = this->corrections[this->first].work;
   this->sum.kv_tokens -= work.kv_tokens;
   this->sum.prefill_time -= work.prefill_time;
-  this->first = (this->first + 1) % kCorrections;
+  this->first = (this->first + 1) % kMaxCorrections;
   --this->count;
 }
 
@@ -92,7 +92,7 @@
 void EndpointView::NoteFull(std::uint64_t kv_tokens,
                             Duration free_in,
                             Instant now) {
-  this->full_until = now + std::max(free_in, kShortestWait);
+  this->full_until = now + std::max(free_in, kMinWait);
   this->full_tokens = kv_tokens;
 }
 
@@ -103,12 +103,13 @@
   if (this->HasCapacity(kv_tokens)) {
     return Duration::zero();
   }
-  // Each stream sent since the report takes one of the coming places.
+  // Each stream sent since the report takes one of the next free slots.
   const auto ahead = static_cast<std::int64_t>(this->count) + 1;
   if (this->load.next_slot_in == Duration::zero()) {
-    return kShortestWait * ahead;  // it was free until these were sent
+    return kMinWait * ahead;  // it had a free slot until these were sent
   }
-  // A time that has passed means a place by now, if nobody else took it.
+  // If the reported time has passed, a slot is free by now unless another entry
+  // took it.
   const Duration reported = this->load.next_slot_in - (now - this->reported_at);
   return std::max(reported, Duration::zero()) * ahead;
 }
--- a/src/placement/endpoint_view.h
+++ b/src/placement/endpoint_view.h
@@ -12,15 +12,15 @@
 namespace acacialug::placement {
 
 // Work that an entry sends to an endpoint: decode memory, prefill time, or
-// just one more call.
+// one more call.
 struct SentWork {
   std::uint64_t kv_tokens = 0;
   Duration prefill_time{};
 };
 
-// What an entry believes of one endpoint: its last load report, corrected by
-// what this entry sent since, and the latencies it measured. Only a hint: the
-// agent decides. Not thread safe; `now` never goes backwards.
+// The state of one endpoint as estimated by an entry: the last load report,
+// corrected by the work that this entry sent since, and measured latencies.
+// Only a hint: the agent decides. Not thread safe; `now` never goes backwards.
 class EndpointView {
  public:
   struct Options {
@@ -35,42 +35,42 @@
 
   explicit EndpointView(Options view_options);
 
-  // A load report arrived. Work sent less than a round trip ago stays as a
-  // correction, since the report was made before it arrived there.
+  // A load report arrived. Work sent less than a round-trip time ago stays
+  // as a correction, since the report was made before the work arrived there.
   void Report(const protocol::EndpointLoad& load, Instant now);
 
-  // This entry sent work that no report can yet contain.
+  // This entry sent work that no report can contain yet.
   void NoteSent(const SentWork& work, Instant now);
 
-  // The agent refused decode memory of that size, and expects it free then.
-  // Holds until a report shows room.
+  // The agent refused decode memory of this size and expects it to be free
+  // after `free_in`. Applies until then or until a report shows capacity.
   void NoteFull(std::uint64_t kv_tokens, Duration free_in, Instant now);
 
-  // A message and its immediate answer took this long.
+  // Records the measured time of a message and its immediate answer.
   void NoteRoundTrip(Duration round_trip);
 
-  // Measured time of a piece of work, as a multiple of what was expected (1:
-  // as expected) or, for plain calls, in seconds.
+  // Records the measured time of a request, as a multiple of the expected time
+  // (1: as expected) or, for plain calls, in seconds.
   void NoteLatency(double latency);
 
-  // Whether a decode stream of that size has room by the last report, whatever
-  // was refused since.
+  // Whether the endpoint has capacity for a decode stream of this size by the
+  // last report and the corrections, regardless of refusals since.
   bool HasCapacity(std::uint64_t kv_tokens) const;
 
-  // Time until a decode stream of that size may start; zero: now.
+  // Time until a decode stream of this size may start; zero: now.
   Duration SlotWait(std::uint64_t kv_tokens, Instant now) const;
 
-  // Time until all prefills known of here are done.
+  // Time until all known prefills of this endpoint are finished.
   Duration WorkAhead(Instant now) const;
 
-  // Time to compute that many prompt tokens, without waiting.
+  // Time to compute `tokens` prompt tokens, without the wait before them.
   Duration PrefillTime(std::uint64_t tokens) const;
 
-  // Time to move that many bytes of KV cache to here.
+  // Time to transfer `bytes` of KV cache to this endpoint.
   Duration TransferTime(std::uint64_t bytes) const;
 
-  // Calls that one more call would wait behind, as a share of the endpoint's
-  // concurrency; 1 and more: it would queue.
+  // Running, queued and recently sent calls as a share of the endpoint's
+  // concurrency limit; at 1 and above, one more call would queue.
   double Occupancy() const;
 
   Duration TokenInterval() const;
@@ -83,8 +83,8 @@
   const EndpointId& Id() const { return this->options.id; }
   Duration Distance() const { return this->options.distance; }
 
-  // Hash of the id: seeds rendezvous weights, and identifies the endpoint
-  // where comparing strings would be slow.
+  // Hash of the id: the seed of rendezvous weights, and an identifier of the
+  // endpoint where string comparisons would be slow.
   std::uint64_t Key() const { return this->key; }
 
  private:
@@ -96,9 +96,9 @@
   std::uint32_t Limit() const;
   void DropOldest();
 
-  // More corrections than this within one round trip mean that the view is
-  // far off anyway; the bound keeps the cost of a decision constant.
-  static constexpr std::size_t kCorrections = 32;
+  // With more corrections than this within one round-trip time, the estimate is
+  // inaccurate anyway; the bound keeps the cost of a decision constant.
+  static constexpr std::size_t kMaxCorrections = 32;
 
   Options options;
   std::uint64_t key = 0;
@@ -109,7 +109,7 @@
   Duration round_trip{};
   double latency = 0;
 
-  std::array<Correction, kCorrections> corrections;  // a ring
+  std::array<Correction, kMaxCorrections> corrections;  // a ring buffer
   std::size_t first = 0;
   std::size_t count = 0;
   SentWork sum;
--- a/src/placement/prefill_picker.h
+++ b/src/placement/prefill_picker.h
@@ -9,24 +9,27 @@
 
 namespace acacialug::placement {
 
-// Picks prefill endpoints so that equal prefixes meet at the same engine:
-// rendezvous hashing (Thaler and Ravishankar, 1998) over the longest prefix
-// that was met before, among the endpoints whose work ahead is below a bound
-// (after consistent hashing with bounded loads, Mirrokni et al., 2016).
-// Entries agree without talking, as they hash the same pieces.
+// Picks prefill endpoints so that prompts with equal prefixes go to the same
+// engine: rendezvous hashing (Thaler and Ravishankar, 1998) over the longest
+// known prefix, among the endpoints whose work ahead is below a bound (after
+// consistent hashing with bounded loads, Mirrokni et al., 2016). Entries agree
+// without communicating, as they hash the same prefix blocks.
 //
-// The bound is what the shared prefix is worth: nobody waits longer for an
-// engine that has it than computing it again elsewhere takes, and for a prompt
-// that this very request had computed not much longer. Not thread safe.
+// The bound is the time that the shared prefix saves: no request waits longer
+// for an engine that has the prefix than another engine needs to compute it
+// again. For a prompt that was computed before for the same request, the bound
+// is a small multiple of this time. Not thread safe.
 class PrefillPicker {
  public:
   struct Options {
-    std::size_t remembered_pieces = 8192;
-    // For a prefix not met before: part of the prompt's own time that may be
-    // waited so that the next one like it finds it where all entries look.
+    std::size_t remembered_blocks = 8192;
+    // For an unknown prefix: the accepted wait as a share of the prompt's own
+    // prefill time, so that the next prompt with the same prefix finds it at
+    // the endpoint that all entries select by hashing.
     double speculation = 0.05;
-    // How much of what should be cached is, until the engines have told.
-    double initial_trust = 0.5;
+    // The share of the expected tokens that is assumed to be still cached,
+    // until engines report it.
+    double initial_kept_share = 0.5;
   };
 
   explicit PrefillPicker(Options picker_options);
@@ -36,34 +39,36 @@
                      const PlacementNeed& need,
                      RandomSource& random);
 
-  // The prefill was sent there: the next one of this prefix goes there too.
+  // The prefill was sent to this endpoint; the next one with this prefix
+  // prefers the same endpoint.
   void NoteSent(std::span<const std::uint64_t> prefix,
                 const EndpointView& view);
 
-  // Hint from an engine's cache events; they come late and with gaps, so
-  // that nothing depends on them.
-  void NoteEvicted(std::uint64_t piece, const EndpointView& view);
+  // A hint from an engine's cache events. They arrive late and with gaps, so
+  // nothing depends on them.
+  void NoteEvicted(std::uint64_t block, const EndpointView& view);
 
-  // Tokens of the prompt that this endpoint most likely has cached: what it
-  // computed last, times the share of such that engines had kept.
+  // Expected number of the prompt's tokens that this endpoint has cached: the
+  // tokens that it was the last to compute, times the share of such tokens that
+  // engines kept so far.
   double CachedTokens(const PlacementNeed& need,
                       const EndpointView& view) const;
 
-  // The same for whichever endpoint has most of it.
+  // The same for the endpoint that computed the longest known prefix.
   double CachedTokensAnywhere(const PlacementNeed& need) const;
 
-  // An engine said how many tokens of the prompt it had; `expected` is what
-  // CachedTokens had said of it.
+  // An engine reported that it had `cached` tokens of the prompt; `expected` is
+  // the earlier result of CachedTokens.
   void Learn(double expected, double cached);
 
  private:
-  Duration WorthWaiting(const PlacementNeed& need,
+  Duration MaxExtraWait(const PlacementNeed& need,
                         const EndpointView& view,
                         std::size_t shared) const;
 
   Options options;
   PrefixMemory memory;
-  double trust;
+  double kept_share;
 };
 
 }  // namespace acacialug::placement
--- a/src/placement/prefix_hasher.h
+++ b/src/placement/prefix_hasher.h
@@ -9,12 +9,13 @@
 
 namespace acacialug::placement {
 
-// Input tokens are guessed as four bytes each wherever no engine has told.
+// The estimated size of an input token where no engine has reported a token
+// count.
 inline constexpr std::uint64_t kBytesPerToken = 4;
 
-// The chain of hashes of a prompt's whole pieces of `block_tokens` tokens,
-// each hash seeded by the one before; the last, partial piece is left out,
-// since no cache holds it. Empty for a prompt shorter than one piece.
+// The chain of hashes of a prompt's whole prefix blocks of `block_tokens`
+// tokens, each hash seeded by the previous one. A partial last block is left
+// out, since no cache stores it. Empty for a prompt shorter than one block.
 // Precondition: block_tokens > 0. Thread safe.
 protocol::PrefixChain HashPrefix(const ModelName& model,
                                  std::string_view prompt_text,
--- a/src/placement/prefix_memory.h
+++ b/src/placement/prefix_memory.h
@@ -9,41 +9,43 @@
 
 namespace acacialug::placement {
 
-// Which endpoint computed a prefix piece last, for the most recently used
-// pieces that this entry met. A hint only: the engine may have evicted the
-// piece, or another entry may have sent it elsewhere. Not thread safe.
+// Records which endpoint computed a prefix block last, for the most recently
+// used blocks of this entry. Only a hint: the engine may have evicted the
+// block, or another entry may have sent it to a different endpoint. Not thread
+// safe.
 class PrefixMemory {
  public:
-  explicit PrefixMemory(std::size_t most_pieces) : limit(most_pieces) {}
+  explicit PrefixMemory(std::size_t max_blocks) : limit(max_blocks) {}
 
-  // The chain was computed by this endpoint (its EndpointView::Key).
+  // This endpoint (an EndpointView::Key) computed the chain.
   void Remember(std::span<const std::uint64_t> chain, std::uint64_t endpoint);
 
-  // A cache event told that the endpoint dropped the piece.
-  void Forget(std::uint64_t piece, std::uint64_t endpoint);
+  // A cache event reported that the endpoint evicted the block.
+  void Forget(std::uint64_t block, std::uint64_t endpoint);
 
-  // The longest prefix that was met before, and who computed it last. Its
-  // pieces are counted from the first: who computed one had those before it.
+  // The longest known prefix, and the endpoint that computed it last. `blocks`
+  // counts from the first block: an endpoint that computed a block also had all
+  // blocks before it.
   struct Known {
-    std::size_t pieces = 0;  // 0: none
+    std::size_t blocks = 0;  // 0: none
     std::uint64_t endpoint = 0;
   };
   Known Longest(std::span<const std::uint64_t> chain) const;
 
-  // The number of leading pieces that this endpoint likely has.
-  std::size_t PiecesAt(std::span<const std::uint64_t> chain,
+  // The number of leading blocks that this endpoint has probably cached.
+  std::size_t BlocksAt(std::span<const std::uint64_t> chain,
                        std::uint64_t endpoint) const;
 
  private:
   struct Item {
-    std::uint64_t piece = 0;
+    std::uint64_t block = 0;
     std::uint64_t endpoint = 0;
   };
   using Items = std::list<Item>;
 
   std::size_t limit;
   Items recent;  // most recently used first
-  std::unordered_map<std::uint64_t, Items::iterator> by_piece;
+  std::unordered_map<std::uint64_t, Items::iterator> by_block;
 };
 
 }  // namespace acacialug::placement
--- a/src/placement/tests/placement_test.cc
+++ b/src/placement/tests/placement_test.cc
@@ -46,19 +46,19 @@
 
 const testing::Story kViews(
     "a view of an endpoint",
-    {It("counts what was sent until a report can contain it",
+    {It("counts the work sent until a report can contain it",
         [] {
           Pool pool(1);
           EndpointView& view = *pool.views[0];
           CPPUNIT_ASSERT(view.SlotWait(600, pool.now) == Duration::zero());
           view.NoteSent({.kv_tokens = 600}, pool.now);
           CPPUNIT_ASSERT(view.SlotWait(600, pool.now) > Duration::zero());
-          view.Report(Load(0), pool.now);  // was made before it arrived
+          view.Report(Load(0), pool.now);  // was made before the work arrived
           CPPUNIT_ASSERT(view.SlotWait(600, pool.now) > Duration::zero());
           view.Report(Load(0), pool.now + 1s);
           CPPUNIT_ASSERT(view.SlotWait(600, pool.now + 1s) == Duration::zero());
         }),
-     It("believes a refusal of that size until its time or a report of room",
+     It("counts a refused size as full until its time or a report of capacity",
         [] {
           Pool pool(1);
           EndpointView& view = *pool.views[0];
@@ -70,7 +70,7 @@
           view.Report(Load(1), pool.now);
           CPPUNIT_ASSERT(view.SlotWait(600, pool.now) == Duration::zero());
         }),
-     It("lets the work that it knows of run off with time", [] {
+     It("reduces the known work ahead as time passes", [] {
        Pool pool(1);
        pool.views[0]->Report(Load(1, 300ms), pool.now);
        CPPUNIT_ASSERT(pool.views[0]->WorkAhead(pool.now + 100ms) == 200ms);
@@ -83,25 +83,29 @@
   std::function<PickRule()> make;
 };
 
-// Work ahead of the endpoint that has the prefix; that of the other is none.
+// `ahead` is the work ahead of the endpoint that has the prefix; the other
+// endpoint has none.
 struct AffinityCase {
   const char* name;
   Duration ahead;
   bool repeated;
-  bool waits;  // for the endpoint that has it
+  bool waits;  // for the endpoint that has the prefix
 };
 
 const testing::Story kAffinity(
-    "a prefill whose prefix one endpoint has",
-    {// Three pieces of 2000 tokens at 20,000 a second: 300 ms, half of which is
-     // believed at first.
+    "a prefill whose prefix is cached at one endpoint",
+    {// Three blocks of 2000 tokens at 20,000 tokens per second take 300 ms. At
+     // first, half of the tokens are assumed to be still cached.
      ForEach<AffinityCase>(
          "",
-         {{"waits for it as long as the prefix is worth", 149ms, false, true},
-          {"and no longer", 151ms, false, false},
-          {"waits for longer when it was computed before for this request",
+         {{"waits for this endpoint up to the time that the prefix saves",
+           149ms, false, true},
+          {"does not wait longer than the time that the prefix saves", 151ms,
+           false, false},
+          {"waits longer when the prompt was computed before for this request",
            899ms, true, true},
-          {"but not without end", 901ms, true, false}},
+          {"waits at most three times the saved time for such a prompt", 901ms,
+           true, false}},
          [](const AffinityCase& row) { return std::string(row.name); },
          [](const AffinityCase& row) {
            Pool pool(2);
@@ -127,7 +131,7 @@
          {{"by prediction", [] { return PickDecodeByPrediction(3); }},
           {"for a call", [] { return PickCallByPrediction(3); }},
           {"at random", [] { return PickRandom(); }},
-          {"in turn", [] { return PickRoundRobin(); }},
+          {"by round robin", [] { return PickRoundRobin(); }},
           {"by the last report", [] { return PickLeastReported(); }},
           {"for a prefill",
            [] {
@@ -153,7 +157,7 @@
            CPPUNIT_ASSERT(pick(pool.usable, {.tried = tried}, pool.random) ==
                           nullptr);
          }),
-     It("for a decode where a slot is free",
+     It("with a free slot for a decode",
         [] {
           Pool pool(3);
           pool.views[0]->Report(Load(2), pool.now);
@@ -162,34 +166,33 @@
                              pool.usable, {.kv_tokens = 10, .now = pool.now},
                              pool.random) == pool.usable[1]);
         }),
-     It("for prompts with one prefix at one endpoint, until it is overloaded",
-        [] {
-          Pool pool(5);
-          PrefillPicker here({});
-          PrefillPicker there({});
-          const protocol::PrefixChain prefix = {11, 12, 13};
-          const PlacementNeed need{.prompt_tokens = 100,
-                                   .prefix = prefix,
-                                   .block_tokens = 30,
-                                   .now = pool.now};
-          EndpointView* const first = here.Pick(pool.usable, need, pool.random);
-          CPPUNIT_ASSERT(there.Pick(pool.usable, need, pool.random) == first);
-          here.NoteSent(prefix, *first);
-          CPPUNIT_ASSERT_EQUAL(45.0, here.CachedTokens(need, *first));
-          here.NoteEvicted(13, *first);
-          CPPUNIT_ASSERT_EQUAL(30.0, here.CachedTokens(need, *first));
-          here.Learn(30, 0);  // the engine had none of it
-          CPPUNIT_ASSERT(here.CachedTokens(need, *first) < 30.0);
-          // 1 ms is less than what the prefix is worth, 10 s is more.
-          first->Report(Load(1, 1ms), pool.now);
-          CPPUNIT_ASSERT(here.Pick(pool.usable, need, pool.random) == first);
-          first->Report(Load(1, 10s), pool.now);
-          CPPUNIT_ASSERT(here.Pick(pool.usable, need, pool.random) != first);
-        })});
+     It("for all prompts with the same prefix, until it is overloaded", [] {
+       Pool pool(5);
+       PrefillPicker here({});
+       PrefillPicker there({});
+       const protocol::PrefixChain prefix = {11, 12, 13};
+       const PlacementNeed need{.prompt_tokens = 100,
+                                .prefix = prefix,
+                                .block_tokens = 30,
+                                .now = pool.now};
+       EndpointView* const first = here.Pick(pool.usable, need, pool.random);
+       CPPUNIT_ASSERT(there.Pick(pool.usable, need, pool.random) == first);
+       here.NoteSent(prefix, *first);
+       CPPUNIT_ASSERT_EQUAL(45.0, here.CachedTokens(need, *first));
+       here.NoteEvicted(13, *first);
+       CPPUNIT_ASSERT_EQUAL(30.0, here.CachedTokens(need, *first));
+       here.Learn(30, 0);  // the engine had no token of the prefix
+       CPPUNIT_ASSERT(here.CachedTokens(need, *first) < 30.0);
+       // 1 ms is less than the time that the prefix saves, 10 s is more.
+       first->Report(Load(1, 1ms), pool.now);
+       CPPUNIT_ASSERT(here.Pick(pool.usable, need, pool.random) == first);
+       first->Report(Load(1, 10s), pool.now);
+       CPPUNIT_ASSERT(here.Pick(pool.usable, need, pool.random) != first);
+     })});
 
 const testing::Story kPrefixes(
     "a prefix chain",
-    {It("is equal exactly as far as the prompts are", [] {
+    {It("equals another exactly up to where the prompts differ", [] {
       const std::string prompt(100, 'a');
       const std::string other = std::string(64, 'a') + std::string(36, 'b');
       const ModelName model("m");
@@ -224,7 +227,7 @@
 
 const testing::Story kWorkingSets(
     "a working set",
-    {It("holds the whole of a small pool, own failure domain first",
+    {It("contains all of a small pool, own failure domain first",
         [] {
           const auto manifest = ManyEndpoints(12);
           const auto chosen = Choose(manifest, "entry");
@@ -232,27 +235,28 @@
           CPPUNIT_ASSERT(chosen[2]->domain == FailureDomain("a"));
           CPPUNIT_ASSERT(chosen[3]->domain == FailureDomain("b"));
         }),
-     It("of a large pool reaches into other failure domains, and spreads "
-        "entries over endpoints",
+     It("of a large pool includes other failure domains, and distributes "
+        "entries evenly over endpoints",
         [] {
           const auto manifest = ManyEndpoints(1200);
           std::map<EndpointId, int> entries;
           for (int entry = 0; entry < 150; ++entry) {
-            std::size_t elsewhere = 0;
+            std::size_t remote = 0;
             for (const auto* endpoint :
                  Choose(manifest, "entry-" + std::to_string(entry))) {
-              elsewhere += endpoint->domain == FailureDomain("a") ? 0 : 1;
+              remote += endpoint->domain == FailureDomain("a") ? 0 : 1;
               ++entries[endpoint->id];
             }
-            CPPUNIT_ASSERT_EQUAL(std::size_t{16}, elsewhere);
+            CPPUNIT_ASSERT_EQUAL(std::size_t{16}, remote);
           }
-          // 150 entries x 48 places over 300 endpoints nearby: 24 expected.
+          // 150 entries x 48 slots over 300 endpoints of the same domain: 24
+          // expected.
           for (int index = 0; index < 1200; index += 4) {
             const int count = entries[EndpointId("e" + std::to_string(index))];
             CPPUNIT_ASSERT(count > 6 && count < 48);
           }
         }),
-     It("leaves out endpoints that leave, and moves few others", [] {
+     It("leaves out leaving endpoints, and replaces only these", [] {
        auto manifest = ManyEndpoints(1200);
        const auto before = Choose(manifest, "entry");
        const EndpointId leaving = before[0]->id;
@@ -263,12 +267,12 @@
        for (auto& endpoint : manifest.endpoints) {
          endpoint.leaving = endpoint.id == leaving;
        }
-       std::size_t moved = 0;
+       std::size_t replaced = 0;
        for (const auto* endpoint : Choose(manifest, "entry")) {
          CPPUNIT_ASSERT(endpoint->id != leaving);
-         moved += kept.contains(endpoint->id) ? 0 : 1;
+         replaced += kept.contains(endpoint->id) ? 0 : 1;
        }
-       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, moved);
+       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replaced);
      })});
 
 }  // namespace
--- a/src/placement/types/hashing.h
+++ b/src/placement/types/hashing.h
@@ -9,8 +9,8 @@
 // XXH64 of a text; the same on every host. Thread safe.
 std::uint64_t HashText(std::string_view text, std::uint64_t seed = 0);
 
-// The rendezvous weight of a pair of hashes: the finaliser of SplitMix64, for
-// it costs a nanosecond and spreads well. Thread safe.
+// The rendezvous weight of a pair of hashes: the finaliser of SplitMix64, as
+// it takes a nanosecond and distributes well. Thread safe.
 constexpr std::uint64_t RendezvousWeight(std::uint64_t first,
                                          std::uint64_t second) {
   std::uint64_t mixed = first + 0x9e3779b97f4a7c15ULL * (second | 1U);
--- a/src/placement/types/pick_rule.h
+++ b/src/placement/types/pick_rule.h
@@ -12,17 +12,17 @@
 
 namespace acacialug::placement {
 
-// The endpoints of a pool that may get new work now.
+// The endpoints of a pool that are available for new work.
 using Candidates = std::span<EndpointView* const>;
 
-// What is to be placed.
+// The requirements of the work to be placed.
 struct PlacementNeed {
   std::uint64_t kv_tokens = 0;      // decode
   std::uint64_t prompt_tokens = 0;  // prefill
   std::span<const std::uint64_t> prefix;
-  std::uint32_t block_tokens = 0;  // prompt tokens of each piece of `prefix`
-  bool repeated = false;           // this request's prompt was computed before
-  std::span<const std::uint64_t> tried;  // keys of endpoints not to repeat
+  std::uint32_t block_tokens = 0;  // prompt tokens per block of `prefix`
+  bool repeated = false;  // the prompt was computed before for this request
+  std::span<const std::uint64_t> tried;  // keys of endpoints to exclude
   Instant now{};
 
   bool Tried(const EndpointView& view) const {
@@ -31,8 +31,8 @@
   }
 };
 
-// Picks one of the candidates that were not tried; null when there is none.
-// Called with one pool's candidates only.
+// Picks one of the untried candidates; null when there is none. Each rule is
+// called with the candidates of one pool only.
 using PickRule = std::function<
     EndpointView*(Candidates, const PlacementNeed&, RandomSource&)>;
 
--- a/src/placement/working_set.cc
+++ b/src/placement/working_set.cc
@@ -11,16 +11,16 @@
 namespace {
 
 struct Ranked {
-  bool elsewhere = false;
+  bool remote = false;
   Duration distance{};
   std::uint64_t weight = 0;
   const manifest::Endpoint* endpoint = nullptr;
 
   friend bool operator<(const Ranked& left, const Ranked& right) {
-    // The greater weight first.
-    return std::tie(left.elsewhere, left.distance, right.weight,
-                    left.endpoint->id) < std::tie(right.elsewhere,
-                                                  right.distance, left.weight,
+    // Greater weights first.
+    return std::tie(left.remote, left.distance, right.weight,
+                    left.endpoint->id) < std::tie(right.remote, right.distance,
+                                                  left.weight,
                                                   right.endpoint->id);
   }
 };
@@ -33,7 +33,7 @@
     const manifest::Manifest& manifest,
     const ServiceName& service,
     protocol::EndpointRole role) const {
-  const std::uint64_t own_hash = HashText(this->options.entry.text);
+  const std::uint64_t entry_hash = HashText(this->options.entry.text);
   std::map<FailureDomain, Duration> distances;
   std::vector<Ranked> ranked;
   for (const manifest::Endpoint& endpoint : manifest.endpoints) {
@@ -48,26 +48,26 @@
           manifest.DistanceBetween(this->options.domain, endpoint.domain);
     }
     ranked.push_back(
-        {.elsewhere = endpoint.domain != this->options.domain,
+        {.remote = endpoint.domain != this->options.domain,
          .distance = distance->second,
-         .weight = RendezvousWeight(own_hash, HashText(endpoint.id.text)),
+         .weight = RendezvousWeight(entry_hash, HashText(endpoint.id.text)),
          .endpoint = &endpoint});
   }
   std::sort(ranked.begin(), ranked.end());
-  const auto own_end =
+  const auto local_end =
       std::partition_point(ranked.begin(), ranked.end(),
-                           [](const Ranked& item) { return !item.elsewhere; });
-  const auto own = static_cast<std::size_t>(own_end - ranked.begin());
+                           [](const Ranked& item) { return !item.remote; });
+  const auto local_count = static_cast<std::size_t>(local_end - ranked.begin());
   const std::size_t size = std::min(this->options.size, ranked.size());
-  const auto kept_elsewhere =
-      std::min(static_cast<std::size_t>(this->options.elsewhere *
+  const auto remote_slots =
+      std::min(static_cast<std::size_t>(this->options.remote_share *
                                         static_cast<double>(size)),
-               ranked.size() - own);
-  const std::size_t near = std::min(own, size - kept_elsewhere);
+               ranked.size() - local_count);
+  const std::size_t local_slots = std::min(local_count, size - remote_slots);
   std::vector<const manifest::Endpoint*> chosen;
   chosen.reserve(size);
   for (std::size_t index = 0; chosen.size() < size; ++index) {
-    if (index < near || index >= own) {
+    if (index < local_slots || index >= local_count) {
       chosen.push_back(ranked[index].endpoint);
     }
   }
