--- a/src/admission/caller_rates.cc
+++ b/src/admission/caller_rates.cc
@@ -11,7 +11,7 @@
           .burst = std::max(rate * limits.burst_seconds, 1.0)};
 }
 
-void CallerRates::SetSharers(std::uint32_t newest, Instant now) {
+void CallerRates::SetShardCount(std::uint32_t newest, Instant now) {
   this->sharers = std::max<std::uint32_t>(newest, 1);
   for (auto& [name, item] : this->tracked) {
     item.bucket.SetOptions(this->Share(item.limits), now);
--- a/src/admission/caller_rates.h
+++ b/src/admission/caller_rates.h
@@ -19,7 +19,7 @@
 class CallerRates {
  public:
   // How many shards of entries share each rate; greater than 0.
-  void SetSharers(std::uint32_t sharers, Instant now);
+  void SetShardCount(std::uint32_t sharers, Instant now);
 
   // Zero when the caller may go on (and one request is counted); else the
   // time after which it may try again. A caller without limit is not tracked.
--- a/src/admission/tests/admission_test.cc
+++ b/src/admission/tests/admission_test.cc
@@ -106,7 +106,7 @@
       int allowed = 0;
       std::vector<CallerRates> entries(kEntries);
       for (CallerRates& entry : entries) {
-        entry.SetSharers(kEntries, now);
+        entry.SetShardCount(kEntries, now);
       }
       for (int step = 0; step < 1000; ++step) {
         now += 10ms;
--- a/src/entry/internal/answer_stream.cc
+++ b/src/entry/internal/answer_stream.cc
@@ -18,7 +18,7 @@
       options(entry_options),
       actions(action_list),
       assembler({.check_sequence = entry_options.rules.check_sequence,
-                 .most_early = entry_options.window_chunks}) {}
+                 .max_early = entry_options.window_chunks}) {}
 
 void AnswerStream::BeginAttempt(Instant now) {
   this->assembler.BeginAttempt();
--- a/src/entry/internal/request_router.cc
+++ b/src/entry/internal/request_router.cc
@@ -214,7 +214,7 @@
 }
 
 void RequestRouter::OnLiveEntries(std::uint32_t entries, Instant now) {
-  this->rates.SetSharers(
+  this->rates.SetShardCount(
       std::max(entries, 1U) * std::max(this->options.shards, 1U), now);
 }
 
--- a/src/gateway/gateway_core.cc
+++ b/src/gateway/gateway_core.cc
@@ -543,12 +543,12 @@
 std::vector<retry::CrashRecord> GatewayCore::TellCrashes(
     std::size_t most,
     std::size_t round) const {
-  return this->implementation->crashes.Tell(most, round,
-                                            this->implementation->Now());
+  return this->implementation->crashes.CollectReports(
+      most, round, this->implementation->Now());
 }
 
 void GatewayCore::TellCrashesAgain() {
-  this->implementation->crashes.TellAgain(this->implementation->Now());
+  this->implementation->crashes.ResendReports(this->implementation->Now());
 }
 
 void GatewayCore::SetPeerCrash(const retry::CrashRecord& told) {
--- a/src/gateway/gateway_core.h
+++ b/src/gateway/gateway_core.h
@@ -88,7 +88,8 @@
                        const forecast::ForecastReport& told);
 
   // Requests under which endpoints ended: what the peers should hear of them
-  // (CrashLedger::Tell), what a peer told, and that a peer knows nothing yet.
+  // (CrashLedger::CollectReports), what a peer told, and that a peer knows
+  // nothing yet.
   std::vector<retry::CrashRecord> TellCrashes(std::size_t most,
                                               std::size_t round) const;
   void SetPeerCrash(const retry::CrashRecord& told);
--- a/src/gateway/tests/quarantine_fleet_test.cc
+++ b/src/gateway/tests/quarantine_fleet_test.cc
@@ -118,9 +118,9 @@
 
   void TellRound(std::size_t number, bool near) {
     Process& from = this->all[number];
-    const auto told =
-        from.ledger->Tell(protocol::kMaxPeerHeartbeatCrashes,
-                          from.rounds[near ? 1 : 0]++, this->time.now);
+    const auto told = from.ledger->CollectReports(
+        protocol::kMaxPeerHeartbeatCrashes, from.rounds[near ? 1 : 0]++,
+        this->time.now);
     for (std::size_t to = 0; to < this->all.size(); ++to) {
       if (to != number &&
           near == (this->DomainOf(to) == this->DomainOf(number)) &&
@@ -142,7 +142,7 @@
     const Instant before =
         std::exchange(process.heard_at[from], this->time.now);
     if (this->time.now - before > kPeerMemory) {
-      process.ledger->TellAgain(this->time.now);
+      process.ledger->ResendReports(this->time.now);
     }
     for (const retry::CrashRecord& record : told) {
       process.ledger->Merge(record, this->time.now);
@@ -261,7 +261,7 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.late_sends());
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.refused_beside());
           CPPUNIT_ASSERT(fleet.largest() <=
-                         retry::CrashLedger::Options().most_requests);
+                         retry::CrashLedger::Options().max_requests);
         })});
 
 }  // namespace
--- a/src/gateway_process/tests/peer_link_test.cc
+++ b/src/gateway_process/tests/peer_link_test.cc
@@ -68,13 +68,15 @@
                   },
               .tell_crashes =
                   [this](std::size_t most, std::size_t round) {
-                    return this->crashes.Tell(most, round, this->Now());
+                    return this->crashes.CollectReports(most, round,
+                                                        this->Now());
                   },
               .on_crash =
                   [this](const retry::CrashRecord& told) {
                     this->crashes.Merge(told, this->Now());
                   },
-              .on_newcomer = [this] { this->crashes.TellAgain(this->Now()); },
+              .on_newcomer =
+                  [this] { this->crashes.ResendReports(this->Now()); },
               .tell_quotas =
                   [this](std::size_t group, std::size_t most) {
                     return this->quotas.CollectReports(group, most,
--- a/src/retry/crash_ledger.cc
+++ b/src/retry/crash_ledger.cc
@@ -127,9 +127,9 @@
                            .age = now - found->second.last};
 }
 
-std::vector<CrashRecord> CrashLedger::Tell(std::size_t most,
-                                           std::size_t round,
-                                           Instant now) const {
+std::vector<CrashRecord> CrashLedger::CollectReports(std::size_t most,
+                                                     std::size_t round,
+                                                     Instant now) const {
   std::vector<RequestKey> first;
   std::vector<RequestKey> rest;
   for (const RequestKey request : this->telling) {
@@ -149,7 +149,7 @@
   return told;
 }
 
-void CrashLedger::TellAgain(Instant now) {
+void CrashLedger::ResendReports(Instant now) {
   for (auto& [request, entry] : this->entries) {
     if (entry.ends.size() > 1) {
       this->TellOf(request, entry, now);
@@ -211,7 +211,7 @@
 // Those that are quarantined go last: a flood of requests that were merely at
 // an endpoint that ended must not free them.
 void CrashLedger::MakeRoom() {
-  if (this->entries.size() < this->options.most_requests) {
+  if (this->entries.size() < this->options.max_requests) {
     return;
   }
   this->Erase(std::min_element(
--- a/src/retry/crash_ledger.h
+++ b/src/retry/crash_ledger.h
@@ -34,7 +34,7 @@
     Duration trust = 1min;
     // Peers are told of a change for so long.
     Duration telling = 5s;
-    std::size_t most_requests = 1024;
+    std::size_t max_requests = 1024;
     std::size_t most_answers = 4096;
   };
 
@@ -60,12 +60,12 @@
   // At most `most` records for the peers: those of requests that were at two
   // endpoints or more, and answers, before those of one. With more, each
   // `round` tells the next ones.
-  std::vector<CrashRecord> Tell(std::size_t most,
-                                std::size_t round,
-                                Instant now) const;
+  std::vector<CrashRecord> CollectReports(std::size_t most,
+                                          std::size_t round,
+                                          Instant now) const;
   // A process that knows nothing yet hears the peers: all is told again but
   // what is known of one endpoint only.
-  void TellAgain(Instant now);
+  void ResendReports(Instant now);
 
   // Forgets what is over. Call it now and then.
   void Sweep(Instant now);
--- a/src/retry/stream_assembler.cc
+++ b/src/retry/stream_assembler.cc
@@ -30,7 +30,7 @@
     return pieces;
   }
   if (sequence > this->next_sequence &&
-      sequence <= this->next_sequence + this->options.most_early) {
+      sequence <= this->next_sequence + this->options.max_early) {
     this->early.emplace(sequence, chunk);
     return pieces;
   }
--- a/src/retry/stream_assembler.h
+++ b/src/retry/stream_assembler.h
@@ -24,8 +24,8 @@
 class StreamAssembler {
  public:
   struct Options {
-    bool check_sequence = true;      // false only to show that tests notice
-    std::uint32_t most_early = 256;  // chunks kept that came too early
+    bool check_sequence = true;     // false only to show that tests notice
+    std::uint32_t max_early = 256;  // chunks kept that came too early
   };
 
   explicit StreamAssembler(Options assembler_options);
--- a/src/retry/tests/crash_ledger_test.cc
+++ b/src/retry/tests/crash_ledger_test.cc
@@ -178,19 +178,23 @@
          {It("of what changed, for a while",
              [] {
                CrashLedger ledger({});
-               CPPUNIT_ASSERT(ledger.Tell(kMostTold, 0, kStart).empty());
+               CPPUNIT_ASSERT(
+                   ledger.CollectReports(kMostTold, 0, kStart).empty());
                ledger.NoteEnd(kRequest, At(1), kStart);
-               const auto told = ledger.Tell(kMostTold, 0, kStart + 2s);
+               const auto told =
+                   ledger.CollectReports(kMostTold, 0, kStart + 2s);
                CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
                CPPUNIT_ASSERT(told[0].request == kRequest);
                CPPUNIT_ASSERT_EQUAL(2.0, Seconds(told[0].age));
-               CPPUNIT_ASSERT(ledger.Tell(kMostTold, 0, kStart + 5s).empty());
+               CPPUNIT_ASSERT(
+                   ledger.CollectReports(kMostTold, 0, kStart + 5s).empty());
              }),
           It("of an answer that clears a request",
              [] {
                CrashLedger ledger = AfterThree();
                ledger.NoteAnswer(kRequest, kStart + 10s);
-               const auto told = ledger.Tell(kMostTold, 0, kStart + 10s);
+               const auto told =
+                   ledger.CollectReports(kMostTold, 0, kStart + 10s);
                CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
                CPPUNIT_ASSERT(told[0].ends.empty());
                ledger.Sweep(kStart + 15s);
@@ -200,19 +204,23 @@
              [] {
                CrashLedger ledger({});
                ledger.Merge(Told({1}), kStart);
-               CPPUNIT_ASSERT(ledger.Tell(kMostTold, 0, kStart).empty());
+               CPPUNIT_ASSERT(
+                   ledger.CollectReports(kMostTold, 0, kStart).empty());
                ledger.Merge(Told({1, 2}), kStart);
-               CPPUNIT_ASSERT(!ledger.Tell(kMostTold, 0, kStart).empty());
+               CPPUNIT_ASSERT(
+                   !ledger.CollectReports(kMostTold, 0, kStart).empty());
                // What is known already is not told on for ever.
                ledger.Merge(Told({1, 2}), kStart + 4s);
-               CPPUNIT_ASSERT(ledger.Tell(kMostTold, 0, kStart + 5s).empty());
+               CPPUNIT_ASSERT(
+                   ledger.CollectReports(kMostTold, 0, kStart + 5s).empty());
              }),
           It("all again when one of them knows nothing yet",
              [] {
                CrashLedger ledger = AfterThree();
                ledger.NoteEnd(RequestKey(78), At(1), kStart);
-               ledger.TellAgain(kStart + 1min);
-               const auto told = ledger.Tell(kMostTold, 0, kStart + 1min);
+               ledger.ResendReports(kStart + 1min);
+               const auto told =
+                   ledger.CollectReports(kMostTold, 0, kStart + 1min);
                CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
                CPPUNIT_ASSERT(told[0].request == kRequest);
              }),
@@ -224,7 +232,8 @@
                }
                std::set<std::uint64_t> others;
                for (std::size_t round = 0; round < 2; ++round) {
-                 const auto told = ledger.Tell(kMostTold, round, kStart);
+                 const auto told =
+                     ledger.CollectReports(kMostTold, round, kStart);
                  CPPUNIT_ASSERT_EQUAL(kMostTold, told.size());
                  CPPUNIT_ASSERT(told[0].request == kRequest);
                  for (std::size_t number = 1; number < told.size(); ++number) {
@@ -236,7 +245,7 @@
      It("keeps a bounded number of requests, and those in quarantine longest",
         [] {
           // Guards against a flood that frees the requests in quarantine.
-          CrashLedger ledger = AfterThree({.most_requests = 16});
+          CrashLedger ledger = AfterThree({.max_requests = 16});
           for (std::uint64_t other = 100; other < 1000; ++other) {
             ledger.NoteEnd(RequestKey(other), At(other), kStart + 1s);
           }
