--- a/src/retry/crash_ledger.cc
+++ b/src/retry/crash_ledger.cc
@@ -6,92 +6,95 @@
 namespace acacialug::retry {
 namespace {
 
-bool OfOneAttempt(const std::vector<CrashEnd>& ends) {
+bool AllFromOneAttempt(const std::vector<CrashEnd>& ends) {
   return std::all_of(ends.begin(), ends.end(), [&ends](const CrashEnd& end) {
     return end.attempt == ends.front().attempt;
   });
 }
 
-// Of `from`, beginning where the rounds before ended.
-void TakeInTurn(const std::vector<RequestKey>& from,
-                std::size_t most,
-                std::size_t round,
-                std::vector<RequestKey>& into) {
-  const std::size_t room = most - std::min(most, into.size());
-  const std::size_t taken = std::min(room, from.size());
+// Appends elements of `from` until `into` has `max_count`, beginning where the
+// previous round ended.
+void AppendRoundRobin(const std::vector<RequestKey>& from,
+                      std::size_t max_count,
+                      std::size_t round,
+                      std::vector<RequestKey>& into) {
+  const std::size_t free_slots = max_count - std::min(max_count, into.size());
+  const std::size_t taken = std::min(free_slots, from.size());
   for (std::size_t number = 0; number < taken; ++number) {
-    into.push_back(from[(round * room + number) % from.size()]);
+    into.push_back(from[(round * free_slots + number) % from.size()]);
   }
 }
 
 }  // namespace
 
 CrashLedger::CrashLedger(Options ledger_options)
-    : options(ledger_options), answers(ledger_options.most_answers) {}
+    : options(ledger_options), answers(ledger_options.max_answers) {}
 
 bool CrashLedger::NoteEnd(RequestKey request,
                           const CrashEnd& end,
                           Instant now) {
-  if (this->Trusted(request, now)) {
+  if (this->AnsweredRecently(request, now)) {
     return false;
   }
-  Entry& entry = this->Touch(request);
-  const bool held = this->Holds(entry, now);
-  this->Add(end, entry.ends);
+  Entry& entry = this->FindOrCreate(request);
+  const bool was_quarantined = this->InQuarantine(entry, now);
+  this->AddEnd(end, entry.ends);
   entry.last = now;
-  this->TellOf(request, entry, now);
-  return !held && this->Holds(entry, now);
+  this->ScheduleReport(request, entry, now);
+  return !was_quarantined && this->InQuarantine(entry, now);
 }
 
 bool CrashLedger::NoteAnswer(RequestKey request, Instant now) {
-  this->Remember(request, now);
+  this->StoreAnswer(request, now);
   const auto found = this->entries.find(request);
   if (found == this->entries.end()) {
     return false;
   }
   Entry& entry = found->second;
-  const bool held = this->Holds(entry, now);
+  const bool was_quarantined = this->InQuarantine(entry, now);
   entry.ends.clear();
   entry.last = now;
-  this->TellOf(request, entry, now);
-  return held;
+  this->ScheduleReport(request, entry, now);
+  return was_quarantined;
 }
 
-bool CrashLedger::Merge(const CrashRecord& told, Instant now) {
-  const Instant at = now - std::min(told.age, this->options.memory);
-  if (told.age >= this->options.memory || this->Trusted(told.request, now)) {
+bool CrashLedger::Merge(const CrashRecord& report, Instant now) {
+  const Instant at = now - std::min(report.age, this->options.retention);
+  if (report.age >= this->options.retention ||
+      this->AnsweredRecently(report.request, now)) {
     return false;
   }
-  if (told.ends.empty()) {
-    this->MergeAnswer(told.request, at);
+  if (report.ends.empty()) {
+    this->MergeAnswer(report.request, at);
     return false;
   }
-  Entry& entry = this->Touch(told.request);
-  const bool held = this->Holds(entry, now);
+  Entry& entry = this->FindOrCreate(report.request);
+  const bool was_quarantined = this->InQuarantine(entry, now);
   const std::vector<CrashEnd> before = entry.ends;
-  for (const CrashEnd& end : told.ends) {
-    this->Add(end, entry.ends);
+  for (const CrashEnd& end : report.ends) {
+    this->AddEnd(end, entry.ends);
   }
   entry.last = std::max(entry.last, at);
-  // Who does not hear that peer hears this process; a single end is left to
-  // the one that saw it.
+  // Forwards the change to processes that don't receive that peer's reports. A
+  // single end is reported only by the process that observed the end.
   if (entry.ends.size() > 1 && entry.ends != before) {
-    this->TellOf(told.request, entry, now);
+    this->ScheduleReport(report.request, entry, now);
   }
-  return !held && this->Holds(entry, now);
+  return !was_quarantined && this->InQuarantine(entry, now);
 }
 
 void CrashLedger::MergeAnswer(RequestKey request, Instant at) {
   const auto found = this->entries.find(request);
   if (found == this->entries.end()) {
-    this->Remember(request, at);
+    this->StoreAnswer(request, at);
   } else if (found->second.last <= at) {
     this->Erase(found);
-    this->Remember(request, at);
+    this->StoreAnswer(request, at);
   }
 }
 
-void CrashLedger::Add(const CrashEnd& end, std::vector<CrashEnd>& ends) const {
+void CrashLedger::AddEnd(const CrashEnd& end,
+                         std::vector<CrashEnd>& ends) const {
   const bool known = std::any_of(
       ends.begin(), ends.end(),
       [&end](const CrashEnd& other) { return other.endpoint == end.endpoint; });
@@ -100,7 +103,7 @@
   }
   if (ends.size() < this->options.limit) {
     ends.push_back(end);
-  } else if (OfOneAttempt(ends)) {
+  } else if (AllFromOneAttempt(ends)) {
     ends.back() = end;
   }
 }
@@ -111,8 +114,8 @@
 
 Duration CrashLedger::TimeLeft(RequestKey request, Instant now) const {
   const auto found = this->entries.find(request);
-  if (found == this->entries.end() || !this->Holds(found->second, now) ||
-      this->Trusted(request, now)) {
+  if (found == this->entries.end() || !this->InQuarantine(found->second, now) ||
+      this->AnsweredRecently(request, now)) {
     return Duration::zero();
   }
   return found->second.last + this->options.quarantine - now;
@@ -127,32 +130,32 @@
                            .age = now - found->second.last};
 }
 
-std::vector<CrashRecord> CrashLedger::CollectReports(std::size_t most,
+std::vector<CrashRecord> CrashLedger::CollectReports(std::size_t max_count,
                                                      std::size_t round,
                                                      Instant now) const {
   std::vector<RequestKey> first;
   std::vector<RequestKey> rest;
-  for (const RequestKey request : this->telling) {
+  for (const RequestKey request : this->reporting) {
     const Entry& entry = this->entries.at(request);
-    if (entry.told_until > now) {
+    if (entry.report_until > now) {
       (entry.ends.size() == 1 ? rest : first).push_back(request);
     }
   }
   std::vector<RequestKey> chosen;
-  TakeInTurn(first, most, round, chosen);
-  TakeInTurn(rest, most, round, chosen);
-  std::vector<CrashRecord> told;
-  told.reserve(chosen.size());
+  AppendRoundRobin(first, max_count, round, chosen);
+  AppendRoundRobin(rest, max_count, round, chosen);
+  std::vector<CrashRecord> reports;
+  reports.reserve(chosen.size());
   for (const RequestKey request : chosen) {
-    told.push_back(this->RecordOf(request, now));
+    reports.push_back(this->RecordOf(request, now));
   }
-  return told;
+  return reports;
 }
 
 void CrashLedger::ResendReports(Instant now) {
   for (auto& [request, entry] : this->entries) {
     if (entry.ends.size() > 1) {
-      this->TellOf(request, entry, now);
+      this->ScheduleReport(request, entry, now);
     }
   }
 }
@@ -160,14 +163,15 @@
 void CrashLedger::Sweep(Instant now) {
   for (auto next = this->entries.begin(); next != this->entries.end();) {
     const auto entry = next++;
-    const bool told = entry->second.told_until <= now;
-    if (told) {
-      this->telling.erase(entry->first);
+    const bool report_finished = entry->second.report_until <= now;
+    if (report_finished) {
+      this->reporting.erase(entry->first);
     }
-    const bool over = entry->second.ends.empty()
-                          ? told
-                          : now - entry->second.last >= this->options.memory;
-    if (over) {
+    const bool expired =
+        entry->second.ends.empty()
+            ? report_finished
+            : now - entry->second.last >= this->options.retention;
+    if (expired) {
       this->Erase(entry);
     }
   }
@@ -180,37 +184,37 @@
       }));
 }
 
-bool CrashLedger::Holds(const Entry& entry, Instant now) const {
+bool CrashLedger::InQuarantine(const Entry& entry, Instant now) const {
   return entry.ends.size() >= this->options.limit &&
-         !OfOneAttempt(entry.ends) &&
+         !AllFromOneAttempt(entry.ends) &&
          now - entry.last < this->options.quarantine;
 }
 
-bool CrashLedger::Trusted(RequestKey request, Instant now) const {
+bool CrashLedger::AnsweredRecently(RequestKey request, Instant now) const {
   const Answer& answer = this->answers[request.value % this->answers.size()];
   return answer.request == request && answer.at != Instant{} &&
-         now - answer.at < this->options.trust;
+         now - answer.at < this->options.answer_grace;
 }
 
-void CrashLedger::Remember(RequestKey request, Instant answered_at) {
+void CrashLedger::StoreAnswer(RequestKey request, Instant answered_at) {
   Answer& kept = this->answers[request.value % this->answers.size()];
   if (kept.at <= answered_at) {
     kept = {.request = request, .at = answered_at};
   }
 }
 
-CrashLedger::Entry& CrashLedger::Touch(RequestKey request) {
+CrashLedger::Entry& CrashLedger::FindOrCreate(RequestKey request) {
   const auto found = this->entries.find(request);
   if (found != this->entries.end()) {
     return found->second;
   }
-  this->MakeRoom();
+  this->EvictIfFull();
   return this->entries[request];
 }
 
-// Those that are quarantined go last: a flood of requests that were merely at
-// an endpoint that ended must not free them.
-void CrashLedger::MakeRoom() {
+// Evicts quarantined requests last: a flood of requests that only happened to
+// be at an endpoint that ended must not release them from quarantine.
+void CrashLedger::EvictIfFull() {
   if (this->entries.size() < this->options.max_requests) {
     return;
   }
@@ -222,13 +226,15 @@
       }));
 }
 
-void CrashLedger::TellOf(RequestKey request, Entry& entry, Instant now) {
-  entry.told_until = now + this->options.telling;
-  this->telling.insert(request);
+void CrashLedger::ScheduleReport(RequestKey request,
+                                 Entry& entry,
+                                 Instant now) {
+  entry.report_until = now + this->options.report_duration;
+  this->reporting.insert(request);
 }
 
 void CrashLedger::Erase(std::map<RequestKey, Entry>::iterator entry) {
-  this->telling.erase(entry->first);
+  this->reporting.erase(entry->first);
   this->entries.erase(entry);
 }
 
--- a/src/retry/crash_ledger.h
+++ b/src/retry/crash_ledger.h
@@ -12,62 +12,67 @@
 
 namespace acacialug::retry {
 
-// Which requests were at endpoints that ended, in whichever attempt and at
-// whichever process. One that may be the cause is quarantined: run again, it
-// would take endpoint after endpoint, and the requests beside it, with it. A
-// request that was merely there is answered elsewhere, and its answer clears
-// it. Memory is bounded. Not thread safe; `now` never goes backwards.
+// Records which requests were running at endpoints that ended, over all
+// attempts and all processes. A request that may be the cause is quarantined:
+// another run would end one endpoint after another, together with the other
+// requests there. A request that only happened to be there is answered
+// elsewhere, and that answer clears the record. Memory is bounded. Not thread
+// safe; `now` never goes backwards.
 class CrashLedger {
  public:
   struct Options {
-    // Different starts of endpoints that end under a request before it is
-    // quarantined, not all in one attempt: where many endpoints end at once,
-    // an attempt goes from one to the next. No more are remembered.
+    // Distinct endpoint starts that end under a request before the request is
+    // quarantined, and the most that are stored for each request. They must
+    // not all belong to one attempt: when many endpoints end at once, a single
+    // attempt goes from one to the next.
     std::size_t limit = 3;
-    // Since the last end. Afterwards the request is tried again, and one more
-    // end quarantines it anew.
+    // Since the last end. Afterwards the request may run again, and one more
+    // end renews the quarantine.
     Duration quarantine = 10min;
-    // Since the last end: then it is forgotten.
-    Duration memory = 1h;
-    // Ends do not count for so long after an answer: of requests that all look
-    // the same, some are always at an endpoint that ends.
-    Duration trust = 1min;
-    // Peers are told of a change for so long.
-    Duration telling = 5s;
+    // Since the last end; the request's record is then deleted.
+    Duration retention = 1h;
+    // After an answer, ends within this time don't count: of many identical
+    // requests, some are always at an endpoint that ends.
+    Duration answer_grace = 1min;
+    // How long a change is reported to peers.
+    Duration report_duration = 5s;
     std::size_t max_requests = 1024;
-    std::size_t most_answers = 4096;
+    std::size_t max_answers = 4096;
   };
 
   explicit CrashLedger(Options ledger_options);
 
-  // An endpoint ended, or broke off, while it had the request. True: the
-  // request is quarantined from now on.
+  // An endpoint ended, or broke off, while the request was there. Returns true
+  // when this puts the request into quarantine.
   bool NoteEnd(RequestKey request, const CrashEnd& end, Instant now);
-  // An endpoint answered the request with success. True: it was quarantined.
+  // An endpoint answered the request with success. Returns true when the
+  // request was quarantined.
   bool NoteAnswer(RequestKey request, Instant now);
 
-  // What a peer told; an age beyond the memory, or a doubled word, changes
-  // nothing. True: the request is quarantined from now on.
-  bool Merge(const CrashRecord& told, Instant now);
+  // Merges a peer's report. A report older than `retention` and a duplicate
+  // change nothing. Returns true when this puts the request into quarantine.
+  bool Merge(const CrashRecord& report, Instant now);
 
   bool Quarantined(RequestKey request, Instant now) const;
-  // Of the quarantine; zero without one.
+  // Time left in quarantine; zero when the request isn't quarantined.
   Duration TimeLeft(RequestKey request, Instant now) const;
 
-  // What is known of it; without ends: nothing that counts.
+  // The record of the request; without ends when nothing counts against the
+  // request.
   CrashRecord RecordOf(RequestKey request, Instant now) const;
 
-  // At most `most` records for the peers: those of requests that were at two
-  // endpoints or more, and answers, before those of one. With more, each
-  // `round` tells the next ones.
-  std::vector<CrashRecord> CollectReports(std::size_t most,
+  // Returns at most `max_count` records to report to peers. Answers, and
+  // requests with ends of two endpoints or more, precede requests with the end
+  // of one. When there are more than `max_count`, each `round` returns the next
+  // ones.
+  std::vector<CrashRecord> CollectReports(std::size_t max_count,
                                           std::size_t round,
                                           Instant now) const;
-  // A process that knows nothing yet hears the peers: all is told again but
-  // what is known of one endpoint only.
+  // Reports all records again, for a peer that has just started and knows none;
+  // excludes records with the end of only one endpoint.
   void ResendReports(Instant now);
 
-  // Forgets what is over. Call it now and then.
+  // Deletes expired records. Call periodically.
   void Sweep(Instant now);
 
   std::size_t quarantined(Instant now) const;
@@ -75,29 +80,30 @@
 
  private:
   struct Entry {
-    std::vector<CrashEnd> ends;  // empty: it was answered
-    Instant last{};
-    Instant told_until{};
+    std::vector<CrashEnd> ends;  // empty: the request was answered
+    Instant last{};              // the last end, or the answer
+    Instant report_until{};
   };
   struct Answer {
     RequestKey request;
     Instant at{};
   };
 
-  bool Holds(const Entry& entry, Instant now) const;
-  bool Trusted(RequestKey request, Instant now) const;
-  void Remember(RequestKey request, Instant answered_at);
+  bool InQuarantine(const Entry& entry, Instant now) const;
+  bool AnsweredRecently(RequestKey request, Instant now) const;
+  void StoreAnswer(RequestKey request, Instant answered_at);
   void MergeAnswer(RequestKey request, Instant at);
-  void Add(const CrashEnd& end, std::vector<CrashEnd>& ends) const;
-  Entry& Touch(RequestKey request);
-  void MakeRoom();
-  void TellOf(RequestKey request, Entry& entry, Instant now);
+  void AddEnd(const CrashEnd& end, std::vector<CrashEnd>& ends) const;
+  Entry& FindOrCreate(RequestKey request);
+  void EvictIfFull();
+  void ScheduleReport(RequestKey request, Entry& entry, Instant now);
   void Erase(std::map<RequestKey, Entry>::iterator entry);
 
   const Options options;
   std::map<RequestKey, Entry> entries;
-  std::set<RequestKey> telling;  // may have some that are told no more
-  // By request: a later one takes the place of an earlier one.
+  // May include requests whose `report_until` has passed.
+  std::set<RequestKey> reporting;
+  // Hash table by request; a later answer replaces an earlier one in its slot.
   std::vector<Answer> answers;
 };
 
--- a/src/retry/outlier_ejection.cc
+++ b/src/retry/outlier_ejection.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kLatencyWeight = 0.2;
-constexpr std::uint32_t kMostDoublings = 8;
+constexpr std::uint32_t kMaxDoublings = 8;
 
 }  // namespace
 
@@ -25,9 +25,8 @@
 
 bool OutlierEjection::MayEject() const {
   const auto size = static_cast<double>(this->members.size());
-  const auto share =
-      static_cast<std::size_t>(this->options.most_ejected * size);
-  // Of two endpoints one may go, of one none.
+  const auto share = static_cast<std::size_t>(this->options.max_ejected * size);
+  // At least one endpoint may be ejected, but never the only endpoint.
   return this->members.size() > 1 &&
          this->ejected < std::max<std::size_t>(share, 1);
 }
@@ -36,9 +35,10 @@
   if (health.ejected || !this->MayEject()) {
     return;
   }
-  const std::uint32_t doublings = std::min(health.ejections, kMostDoublings);
-  health.until = now + std::min(this->options.base * (1U << doublings),
-                                this->options.longest);
+  const std::uint32_t doublings = std::min(health.ejections, kMaxDoublings);
+  health.ejected_until =
+      now + std::min(this->options.base_duration * (1U << doublings),
+                     this->options.max_duration);
   health.ejected = true;
   health.probation = false;
   ++health.ejections;
@@ -86,11 +86,11 @@
 double OutlierEjection::MedianLatency() const {
   std::vector<double> latencies;
   for (const auto& [endpoint, health] : this->members) {
-    if (health.samples >= this->options.least_samples) {
+    if (health.samples >= this->options.min_samples) {
       latencies.push_back(health.latency);
     }
   }
-  // Beside fewer than three, nobody can tell which one is the outlier.
+  // With fewer than three latencies the outlier can't be identified.
   if (latencies.size() < 3) {
     return 0;
   }
@@ -105,13 +105,13 @@
   const std::size_t before = this->ejected;
   bool changed = false;
   for (auto& [endpoint, health] : this->members) {
-    if (health.ejected && health.until <= now) {
+    if (health.ejected && health.ejected_until <= now) {
       health.ejected = false;
       health.probation = true;
       health.failures = 0;
       --this->ejected;
       changed = true;
-    } else if (median > 0 && health.samples >= this->options.least_samples &&
+    } else if (median > 0 && health.samples >= this->options.min_samples &&
                health.latency > this->options.slow_factor * median) {
       this->Eject(health, now);
     }
--- a/src/retry/outlier_ejection.h
+++ b/src/retry/outlier_ejection.h
@@ -11,36 +11,37 @@
 
 namespace acacialug::retry {
 
-// Takes endpoints of one pool out of use that fail, or are slow beside the
-// others, for a while. Slowness is judged against the pool's median and the
-// share ejected is capped, so that a pool which is slow as a whole (a hot
-// day, a slow store) is not ejected: that would turn slow into down. An
-// endpoint that comes back is on probation: the first failure ejects it again
-// for longer, a success ends the probation. Not thread safe.
+// Temporarily ejects endpoints of one pool that fail, or that are slower than
+// the others. Latency is compared with the pool's median and the ejected share
+// is capped, so that a pool that is slow as a whole (a hot day, a slow store)
+// stays in service: ejecting the pool would turn slow service into an outage.
+// After an ejection an endpoint is on probation: the first failure ejects the
+// endpoint again for longer, a success ends the probation. Not thread safe.
 class OutlierEjection {
  public:
   struct Options {
-    std::uint32_t failures = 5;        // one after the other
-    double slow_factor = 3.0;          // times the pool's median latency
-    std::uint32_t least_samples = 10;  // of latency, before it is judged
-    double most_ejected = 0.3;         // share of the pool; one of two at least
-    Duration base = 5s;                // doubles with each ejection in a row
-    Duration longest = 60s;
+    std::uint32_t failures = 5;      // consecutive
+    double slow_factor = 3.0;        // times the pool's median latency
+    std::uint32_t min_samples = 10;  // of latency, before latency is compared
+    // Share of the pool; at least one endpoint of two or more.
+    double max_ejected = 0.3;
+    Duration base_duration = 5s;  // doubles with each consecutive ejection
+    Duration max_duration = 60s;
   };
 
   explicit OutlierEjection(Options ejection_options);
 
-  // The endpoints of the pool; what is known of others is forgotten.
+  // Sets the endpoints of the pool and deletes the state of all others.
   void SetMembers(const std::vector<EndpointId>& members);
 
   void NoteSuccess(const EndpointId& endpoint);
-  // `latency`: time of a piece of work as a multiple of the expected, or in
-  // any unit that is the same for the whole pool.
+  // `latency`: the time of an operation as a multiple of the expected time, or
+  // in any unit that is the same for the whole pool.
   void NoteLatency(const EndpointId& endpoint, double latency);
   void NoteFailure(const EndpointId& endpoint, Instant now);
 
-  // Ends ejections that are over and judges slowness. Call now and then
-  // (each second). O(members). True when any endpoint's state changed.
+  // Ends expired ejections and ejects slow endpoints. Call periodically (each
+  // second). O(members). Returns true when any endpoint's state changed.
   bool Sweep(Instant now);
 
   bool Ejected(const EndpointId& endpoint) const;
@@ -49,12 +50,12 @@
  private:
   struct Health {
     std::uint32_t failures = 0;
-    std::uint32_t ejections = 0;  // in a row
+    std::uint32_t ejections = 0;  // consecutive
     std::uint32_t samples = 0;
     double latency = 0;
     bool ejected = false;
     bool probation = false;
-    Instant until{};
+    Instant ejected_until{};
   };
 
   void Eject(Health& health, Instant now);
--- a/src/retry/retry_budget.cc
+++ b/src/retry/retry_budget.cc
@@ -5,19 +5,19 @@
 namespace acacialug::retry {
 
 RetryBudget::RetryBudget(Options budget_options)
-    : options(budget_options), saved(budget_options.burst) {}
+    : options(budget_options), balance(budget_options.burst) {}
 
 void RetryBudget::NoteSuccess() {
-  this->saved =
-      std::min(this->saved + this->options.share, this->options.burst);
+  this->balance =
+      std::min(this->balance + this->options.share, this->options.burst);
 }
 
 bool RetryBudget::TryTake() {
-  if (this->saved < 1.0) {
+  if (this->balance < 1.0) {
     ++this->refused;
     return false;
   }
-  this->saved -= 1.0;
+  this->balance -= 1.0;
   return true;
 }
 
--- a/src/retry/retry_budget.h
+++ b/src/retry/retry_budget.h
@@ -5,22 +5,22 @@
 
 namespace acacialug::retry {
 
-// Bounds retries to a share of recent successes. Without it a pool that fails
-// under load gets each request several times, the load grows by the number of
-// attempts, and it never recovers; one notices goodput that stays down after
-// the cause is gone. Not thread safe.
+// Bounds retries to a share of recent successes. Without this bound, a pool
+// that fails under load gets each request several times, the load is multiplied
+// by the number of attempts, and the pool never recovers: goodput stays low
+// after the cause is gone. Not thread safe.
 class RetryBudget {
  public:
   struct Options {
     double share = 0.1;  // retries allowed for each success
-    double burst = 10;   // most that can be saved up, and had at the start
+    double burst = 10;   // maximum balance, and the initial one
   };
 
   explicit RetryBudget(Options budget_options);
 
   void NoteSuccess();
 
-  // True when one more retry is allowed, and takes it from the budget.
+  // Takes one retry from the budget. Returns false when the budget is spent.
   bool TryTake();
 
   // Retries that the budget refused.
@@ -28,7 +28,7 @@
 
  private:
   Options options;
-  double saved;
+  double balance;
   std::uint64_t refused = 0;
 };
 
--- a/src/retry/stream_assembler.h
+++ b/src/retry/stream_assembler.h
@@ -19,28 +19,31 @@
 };
 
 // Joins the chunks of successive attempts into one answer: each token once,
-// in order. A chunk that comes twice is dropped; one that comes early waits
-// for those before it. Not thread safe.
+// in order. Drops duplicate chunks, and buffers chunks that arrive early until
+// the chunks before them arrive. Not thread safe.
 class StreamAssembler {
  public:
   struct Options {
-    bool check_sequence = true;     // false only to show that tests notice
-    std::uint32_t max_early = 256;  // chunks kept that came too early
+    // False only to verify that tests detect the missing check.
+    bool check_sequence = true;
+    // Chunks up to this number of positions early are buffered; others are
+    // dropped.
+    std::uint32_t max_early = 256;
   };
 
   explicit StreamAssembler(Options assembler_options);
 
-  // A new attempt goes on after the text assembled so far; what earlier
-  // attempts sent and could not be delivered is forgotten.
+  // Begins an attempt that continues after the text assembled so far. Discards
+  // undelivered chunks of earlier attempts.
   void BeginAttempt();
 
-  // Takes a chunk of the current attempt; returns what can be delivered now.
+  // Adds a chunk of the current attempt; returns what can be delivered now.
   std::vector<Piece> Take(const protocol::Chunk& chunk);
 
-  // The current attempt says that its answer has this many chunks.
+  // The current attempt ended; its answer has `chunks` chunks.
   void NoteEnd(SequenceNumber chunks);
 
-  // All chunks of the current attempt up to its end were delivered.
+  // True when all chunks of the current attempt up to its end were delivered.
   bool Complete() const;
 
   // The text of all attempts so far, as delivered.
@@ -50,8 +53,8 @@
   std::uint32_t EarlierTokens() const { return this->earlier_tokens; }
   std::uint64_t Pieces() const { return this->next_index; }
 
-  // The chunk of the current attempt that became this piece; empty when an
-  // earlier attempt sent it.
+  // The chunk of the current attempt that became this piece; empty when the
+  // piece is from an earlier attempt.
   std::optional<SequenceNumber> SequenceOf(std::uint64_t index) const;
 
   std::uint64_t Dropped() const { return this->dropped; }
--- a/src/retry/tests/retry_test.cc
+++ b/src/retry/tests/retry_test.cc
@@ -16,9 +16,9 @@
 
 const testing::Story kBudget(
     "a retry budget",
-    // Symptom: load multiplies while a pool fails. Sequence: every request
-    // fails and is retried. Cause: retries were not bound to successes.
-    {It("lets go its burst, then a share of the successes", [] {
+    // Guards against load that multiplies while a pool fails, because every
+    // failed request is retried regardless of the number of successes.
+    {It("allows its burst, then a share of the successes", [] {
       RetryBudget budget({.share = 0.5, .burst = 2});
       CPPUNIT_ASSERT(budget.TryTake() && budget.TryTake());
       CPPUNIT_ASSERT(!budget.TryTake());
@@ -39,7 +39,7 @@
 const testing::Story kAssembler(
     "a stream assembler",
     {ForEach<Arrival>(
-         "gives each chunk once and in order when they come",
+         "delivers each chunk once and in order when chunks arrive",
          {{"in order", {0, 1, 2, 3}, "0123", true},
           {"doubled", {0, 0, 1, 2, 1, 3, 3}, "0123", true},
           {"reordered", {3, 1, 0, 2}, "0123", true},
@@ -62,7 +62,7 @@
            CPPUNIT_ASSERT_EQUAL(std::string(arrival.text), assembler.Text());
            CPPUNIT_ASSERT_EQUAL(arrival.complete, assembler.Complete());
          }),
-     It("goes on after what earlier attempts delivered", [] {
+     It("continues after what earlier attempts delivered", [] {
        StreamAssembler assembler({});
        assembler.BeginAttempt();
        assembler.Take(
@@ -104,8 +104,8 @@
 
 const testing::Story kEjection(
     "outlier ejection",
-    {It("takes out an endpoint that fails five times in a row, then tries it "
-        "again, for longer after each relapse",
+    {It("ejects an endpoint after five consecutive failures, then tries the "
+        "endpoint again, and ejects for longer after each relapse",
         [] {
           Ejections pool(10);
           pool.Fail(0, 4);
@@ -117,12 +117,12 @@
           pool.now += 5s;
           CPPUNIT_ASSERT(pool.rule.Sweep(pool.now));
           CPPUNIT_ASSERT(!pool.rule.Ejected(pool.ids[0]));
-          pool.Fail(0, 1);  // on probation: one is enough
+          pool.Fail(0, 1);  // on probation: one failure is enough
           pool.now += 5s;
           CPPUNIT_ASSERT(!pool.rule.Sweep(pool.now));
           CPPUNIT_ASSERT(pool.rule.Ejected(pool.ids[0]));
         }),
-     It("takes out an endpoint that is slow beside the others",
+     It("ejects an endpoint that is slower than the others",
         [] {
           Ejections pool(10);
           for (int index = 0; index < 10; ++index) {
@@ -132,10 +132,10 @@
           CPPUNIT_ASSERT(pool.rule.Ejected(pool.ids[3]));
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pool.rule.EjectedCount());
         }),
-     // Symptom: a pool that is slow as a whole goes down. Sequence: all its
-     // endpoints slow down at once and are taken out one after the other.
-     // Cause: slowness was judged absolutely, and without a cap.
-     It("keeps a pool that is slow, or failing, as a whole",
+     // Guards against an outage of a pool whose endpoints all slow down at
+     // once: with an absolute latency bound and no cap on the ejected share,
+     // they are ejected one after the other.
+     It("keeps most of a pool that is slow, or failing, as a whole",
         [] {
           Ejections pool(10);
           for (int index = 0; index < 10; ++index) {
@@ -145,7 +145,7 @@
           pool.rule.Sweep(pool.now);
           CPPUNIT_ASSERT_EQUAL(std::size_t{3}, pool.rule.EjectedCount());
         }),
-     It("never takes out the only endpoint", [] {
+     It("never ejects the only endpoint", [] {
        Ejections pool(1);
        pool.Fail(0, 50);
        CPPUNIT_ASSERT(!pool.rule.Ejected(pool.ids[0]));
--- a/src/retry/types/crash_record.h
+++ b/src/retry/types/crash_record.h
@@ -9,18 +9,20 @@
 
 namespace acacialug::retry {
 
-// An endpoint that ended under a request.
+// An endpoint that ended while a request was there.
 struct CrashEnd {
-  std::uint64_t endpoint = 0;  // a hash of its start
-  std::uint32_t attempt = 0;   // of the request, that was there; a hash
+  std::uint64_t endpoint = 0;  // hash that identifies one start of the endpoint
+  std::uint32_t attempt = 0;   // hash of the request's attempt at the endpoint
 
   friend bool operator==(const CrashEnd&, const CrashEnd&) = default;
 };
 
-// What processes tell each other of a request under which endpoints ended.
+// The state of one request that processes report to each other: the endpoints
+// that ended while the request was there.
 struct CrashRecord {
   RequestKey request;
-  // Empty: it was answered, and what was told of it before does not count.
+  // Empty: the request was answered, and earlier reports on the request don't
+  // count.
   std::vector<CrashEnd> ends;
   Duration age{};  // since the last end, or since the answer
 };
--- a/src/retry/types/request_key.h
+++ b/src/retry/types/request_key.h
@@ -5,8 +5,8 @@
 
 namespace acacialug::retry {
 
-// A hash of what a request asks for: the same for all of its attempts, whatever
-// their ids, and on every host.
+// A hash of a request's content: the same for all attempts, whatever their ids,
+// and on every host.
 using RequestKey = Number<struct RequestKeyTag>;
 
 }  // namespace acacialug::retry
