--- a/src/agent/agent_core.h
+++ b/src/agent/agent_core.h
@@ -56,7 +56,8 @@
   bool within_heartbeat_budget() const;
 
   void OnEngineEvent(const engine::EngineEvent& event, Instant now);
-  // The answer to a ReadTurns or an AppendTurn. Errors in them: as ILog's.
+  // The answer to a ReadMaintenanceStream or an AppendMaintenanceRecord. Errors
+  // in them: as ILog's.
   void OnTurnsRead(const Result<cluster::ILog::Read>& read, Instant now);
   void OnTurnAppended(const Result<LogOffset>& appended, Instant now);
   // Call at or after next_timer().
--- a/src/agent/internal/agent_implementation.cc
+++ b/src/agent/internal/agent_implementation.cc
@@ -188,7 +188,7 @@
 }
 
 OrderStatus AgentCore::Implementation::Orders() const {
-  const turns::TurnKeeper& keeper = this->turns.keeper();
+  const maintenance::MaintenanceQueueClient& keeper = this->turns.keeper();
   OrderStatus status{.confirmed = this->orders.confirmed(),
                      .out = this->orders.out(),
                      .wish = this->orders.turn_wish(),
@@ -328,20 +328,21 @@
   // and must not give back the one in which it may be out. An agent that only
   // ends itself leaves its endpoint in the pool, for a successor.
   const bool leaving = this->leaves_pool;
-  const turns::TurnWish wish =
-      leaving ? turns::TurnWish::kKeep : this->orders.turn_wish();
-  if (wish == turns::TurnWish::kTurn) {
+  const maintenance::MaintenanceIntent wish =
+      leaving ? maintenance::MaintenanceIntent::kKeep
+              : this->orders.turn_wish();
+  if (wish == maintenance::MaintenanceIntent::kEnter) {
     this->turns.Note(this->Load(now), now);
   } else {
     this->turns.StopNoting();
   }
-  turns::TurnKeeper& keeper = this->turns.keeper();
-  keeper.SetWish(wish, now);
+  maintenance::MaintenanceQueueClient& keeper = this->turns.keeper();
+  keeper.SetIntent(wish, now);
   keeper.OnTimer(now);
-  for (turns::TurnAction& action : keeper.TakeActions()) {
+  for (maintenance::MaintenanceAction& action : keeper.TakeActions()) {
     this->outbox.Ask(std::move(action));
   }
-  const bool may_go = wish == turns::TurnWish::kTurn &&
+  const bool may_go = wish == maintenance::MaintenanceIntent::kEnter &&
                       this->turns.MayGo(this->Idle(), this->orders.out(), now);
   this->orders.SetTurn(leaving || may_go, now);
 }
--- a/src/agent/internal/engine_orders.cc
+++ b/src/agent/internal/engine_orders.cc
@@ -42,11 +42,12 @@
   this->ReadAt(now);
 }
 
-turns::TurnWish EngineOrders::turn_wish() const {
+maintenance::MaintenanceIntent EngineOrders::turn_wish() const {
   if (this->state_confirmed) {
-    return turns::TurnWish::kNone;
+    return maintenance::MaintenanceIntent::kNone;
   }
-  return this->needs_turn ? turns::TurnWish::kTurn : turns::TurnWish::kKeep;
+  return this->needs_turn ? maintenance::MaintenanceIntent::kEnter
+                          : maintenance::MaintenanceIntent::kKeep;
 }
 
 void EngineOrders::SetTurn(bool is_given, Instant now) {
--- a/src/agent/internal/engine_orders.h
+++ b/src/agent/internal/engine_orders.h
@@ -9,8 +9,8 @@
 #include "engine/types/engine_messages.h"
 #include "framework/global/random_source.h"
 #include "framework/global/types/instant.h"
+#include "maintenance/maintenance_queue_client.h"
 #include "manifest/types/manifest.h"
-#include "turns/turn_keeper.h"
 
 namespace acacialug::agent {
 
@@ -45,7 +45,7 @@
   void Want(engine::Order order, Instant now);
 
   // What to say of the endpoint in its pool's order of turns.
-  turns::TurnWish turn_wish() const;
+  maintenance::MaintenanceIntent turn_wish() const;
   // Whether the endpoint may be taken out for an order now; with `take_turns`
   // an endpoint that serves an older version goes on serving it until then.
   void SetTurn(bool is_given, Instant now);
--- a/src/agent/internal/outbox.h
+++ b/src/agent/internal/outbox.h
@@ -32,7 +32,7 @@
     this->actions.push_back(ExecuteOnEngine{std::move(command)});
   }
 
-  void Ask(turns::TurnAction action) {
+  void Ask(maintenance::MaintenanceAction action) {
     std::visit(
         [this](auto& typed) { this->actions.emplace_back(std::move(typed)); },
         action);
--- a/src/agent/internal/turn_taker.cc
+++ b/src/agent/internal/turn_taker.cc
@@ -48,7 +48,8 @@
   if (!this->options.rules.wait_for_turn) {
     return true;
   }
-  const std::optional<std::size_t> before = this->turn_keeper.TurnAt(now);
+  const std::optional<std::size_t> before =
+      this->turn_keeper.PermittedRank(now);
   return before && (out || this->RestCarries(*before, idle, now));
 }
 
--- a/src/agent/internal/turn_taker.h
+++ b/src/agent/internal/turn_taker.h
@@ -6,8 +6,8 @@
 
 #include "agent/internal/utilisation.h"
 #include "agent/types/agent_options.h"
+#include "maintenance/maintenance_queue_client.h"
 #include "manifest/types/manifest.h"
-#include "turns/turn_keeper.h"
 
 namespace acacialug::agent {
 
@@ -37,15 +37,17 @@
   // its load tells nothing any more.
   bool MayGo(bool idle, bool out, Instant now) const;
 
-  turns::TurnKeeper& keeper() { return this->turn_keeper; }
-  const turns::TurnKeeper& keeper() const { return this->turn_keeper; }
+  maintenance::MaintenanceQueueClient& keeper() { return this->turn_keeper; }
+  const maintenance::MaintenanceQueueClient& keeper() const {
+    return this->turn_keeper;
+  }
 
  private:
   bool RestCarries(std::size_t before, bool idle, Instant now) const;
 
   const AgentOptions& options;
   Utilisation utilisation;
-  turns::TurnKeeper turn_keeper;
+  maintenance::MaintenanceQueueClient turn_keeper;
   std::size_t members = 0;
 };
 
--- a/src/agent/tests/engine_care_test.cc
+++ b/src/agent/tests/engine_care_test.cc
@@ -203,7 +203,7 @@
 struct TurnCase {
   std::string name;
   std::function<void(engine::EngineState&)> change;  // from the wanted one
-  turns::TurnWish wish;
+  maintenance::MaintenanceIntent wish;
   bool fit;      // without a turn
   bool ordered;  // without a turn, when idle
 };
@@ -212,25 +212,25 @@
     "orders that take turns",
     {Cases<TurnCase>("to an engine whose state",
                      {{"is as wanted, ask for none", [](auto&) {},
-                       turns::TurnWish::kNone, true, false},
+                       maintenance::MaintenanceIntent::kNone, true, false},
                       {"is an older version, wait while it serves",
-                       [](auto& s) { s.version = "1"; }, turns::TurnWish::kTurn,
-                       true, false},
+                       [](auto& s) { s.version = "1"; },
+                       maintenance::MaintenanceIntent::kEnter, true, false},
                       {"lacks an adapter, wait while it serves",
                        [](auto& s) { s.adapters.pop_back(); },
-                       turns::TurnWish::kTurn, true, false},
+                       maintenance::MaintenanceIntent::kEnter, true, false},
                       {"is another model, which serves nobody, are sent",
                        [](auto& s) { s.model = ModelName("other"); },
-                       turns::TurnWish::kKeep, false, true},
+                       maintenance::MaintenanceIntent::kKeep, false, true},
                       {"is another role, which serves nobody, are sent",
                        [](auto& s) { s.role = "prefill"; },
-                       turns::TurnWish::kKeep, false, true},
+                       maintenance::MaintenanceIntent::kKeep, false, true},
                       {"is loading, keep what turn there is",
                        [](auto& s) { s.loading = true; },
-                       turns::TurnWish::kKeep, false, false},
+                       maintenance::MaintenanceIntent::kKeep, false, false},
                       {"follows a newer manifest, claim nothing",
                        [](auto& s) { s = StateOf(Wanted(6), "3"); },
-                       turns::TurnWish::kKeep, true, false}},
+                       maintenance::MaintenanceIntent::kKeep, true, false}},
                      [](const TurnCase& row) {
                        RandomSource random(1);
                        EngineOrders orders({.take_turns = true}, random);
@@ -332,13 +332,16 @@
           taker.Note({.running = row.running, .limit = 10}, kNow);
           const Instant now = kNow + row.watched;
           // Claims, and reads its own claim alone.
-          turns::TurnKeeper& keeper = taker.keeper();
-          keeper.SetWish(turns::TurnWish::kTurn, now);
+          maintenance::MaintenanceQueueClient& keeper = taker.keeper();
+          keeper.SetIntent(maintenance::MaintenanceIntent::kEnter, now);
           keeper.OnTimer(now);
           keeper.OnRead(cluster::ILog::Read{.next = LogOffset(1)}, now);
           std::string claim;
-          for (const turns::TurnAction& action : keeper.TakeActions()) {
-            if (const auto* append = std::get_if<turns::AppendTurn>(&action)) {
+          for (const maintenance::MaintenanceAction& action :
+               keeper.TakeActions()) {
+            if (const auto* append =
+                    std::get_if<maintenance::AppendMaintenanceRecord>(
+                        &action)) {
               claim = append->payload;
             }
           }
--- a/src/agent/types/agent_messages.h
+++ b/src/agent/types/agent_messages.h
@@ -4,8 +4,8 @@
 #include <variant>
 
 #include "engine/types/engine_messages.h"
+#include "maintenance/maintenance_queue_client.h"
 #include "protocol/types/messages.h"
-#include "turns/turn_keeper.h"
 
 namespace acacialug::agent {
 
@@ -29,12 +29,15 @@
 
 // Reads or appends to the pool's stream of the platform's log; the answer goes
 // to OnTurnsRead or OnTurnAppended. One at a time.
-using turns::AppendTurn;
-using turns::ReadTurns;
+using maintenance::AppendMaintenanceRecord;
+using maintenance::ReadMaintenanceStream;
 
 // What the process around an AgentCore has to do, in this order.
-using AgentAction = std::
-    variant<SendToEntry, CloseSession, ExecuteOnEngine, ReadTurns, AppendTurn>;
+using AgentAction = std::variant<SendToEntry,
+                                 CloseSession,
+                                 ExecuteOnEngine,
+                                 ReadMaintenanceStream,
+                                 AppendMaintenanceRecord>;
 
 }  // namespace acacialug::agent
 
--- a/src/agent/types/order_status.h
+++ b/src/agent/types/order_status.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "turns/turn_keeper.h"
+#include "maintenance/maintenance_queue_client.h"
 
 namespace acacialug::agent {
 
@@ -12,7 +12,7 @@
 struct OrderStatus {
   bool confirmed = false;  // the engine has told that it is as wanted
   bool out = false;        // taken out of service by an order
-  turns::TurnWish wish = turns::TurnWish::kKeep;
+  maintenance::MaintenanceIntent wish = maintenance::MaintenanceIntent::kKeep;
   // Members of the pool that asked before; empty without an open claim.
   std::optional<std::uint64_t> before;
   std::uint64_t appends = 0;  // to the pool's stream
--- a/src/agent_process/internal/agent_runtime.cc
+++ b/src/agent_process/internal/agent_runtime.cc
@@ -271,7 +271,7 @@
   this->engine->Execute(action.command);
 }
 
-void AgentRuntime::Do(const agent::ReadTurns& action) {
+void AgentRuntime::Do(const agent::ReadMaintenanceStream& action) {
   this->turns_log->ReadFrom(action.stream, action.from, kTurnsPerRead,
                             Duration::zero(),
                             [this, weak = std::weak_ptr(this->alive)](
@@ -284,7 +284,7 @@
                             });
 }
 
-void AgentRuntime::Do(const agent::AppendTurn& action) {
+void AgentRuntime::Do(const agent::AppendMaintenanceRecord& action) {
   this->turns_log->Append(action.stream, action.payload,
                           [this, weak = std::weak_ptr(this->alive)](
                               const Result<LogOffset>& result) {
--- a/src/agent_process/internal/agent_runtime.h
+++ b/src/agent_process/internal/agent_runtime.h
@@ -65,8 +65,8 @@
   void Do(const agent::SendToEntry& action);
   void Do(const agent::CloseSession& action);
   void Do(const agent::ExecuteOnEngine& action);
-  void Do(const agent::ReadTurns& action);
-  void Do(const agent::AppendTurn& action);
+  void Do(const agent::ReadMaintenanceStream& action);
+  void Do(const agent::AppendMaintenanceRecord& action);
   void ArmTimer(Instant now);
   void CheckBudget();
   void TellNewerManifest();
--- a/src/turns/internal/turn_book.cc
+++ b/src/maintenance/internal/maintenance_queue.cc
@@ -1,26 +1,26 @@
-#include "turns/turn_book.h"
+#include "maintenance/maintenance_queue.h"
 
 #include <algorithm>
 
-namespace acacialug::turns {
+namespace acacialug::maintenance {
 
-void TurnBook::Apply(LogOffset offset, const std::string& payload) {
+void MaintenanceQueue::Apply(LogOffset offset, const std::string& payload) {
   if (offset <= this->through) {
     return;
   }
   this->through = offset;
-  const Result<TurnRecord> record = DecodeTurn(payload);
+  const Result<MaintenanceRecord> record = DecodeMaintenanceRecord(payload);
   if (!record.ok()) {
     return;
   }
-  if (record->kind == TurnRecordKind::kRelease) {
+  if (record->kind == MaintenanceRecordKind::kRelease) {
     this->Close(*record);
   } else {
     this->Open(offset, *record);
   }
 }
 
-void TurnBook::Open(LogOffset offset, const TurnRecord& record) {
+void MaintenanceQueue::Open(LogOffset offset, const MaintenanceRecord& record) {
   if (this->IsClosed(record.endpoint, record.id)) {
     return;
   }
@@ -47,7 +47,7 @@
   this->by_endpoint.emplace(record.endpoint, since);
 }
 
-void TurnBook::Close(const TurnRecord& record) {
+void MaintenanceQueue::Close(const MaintenanceRecord& record) {
   const auto found = this->by_endpoint.find(record.endpoint);
   if (found != this->by_endpoint.end() &&
       this->claims.at(found->second).id == record.id) {
@@ -64,13 +64,14 @@
   }
 }
 
-const TurnBook::Claim* TurnBook::OpenClaimOf(const EndpointId& endpoint) const {
+const MaintenanceQueue::Claim* MaintenanceQueue::OpenClaimOf(
+    const EndpointId& endpoint) const {
   const auto found = this->by_endpoint.find(endpoint);
   return found == this->by_endpoint.end() ? nullptr
                                           : &this->claims.at(found->second);
 }
 
-std::optional<std::size_t> TurnBook::RankOf(
+std::optional<std::size_t> MaintenanceQueue::RankOf(
     const EndpointId& endpoint,
     const std::set<EndpointId>& members) const {
   const Claim* own = this->OpenClaimOf(endpoint);
@@ -87,11 +88,12 @@
   return rank;
 }
 
-bool TurnBook::IsClosed(const EndpointId& endpoint, std::uint64_t id) const {
+bool MaintenanceQueue::IsClosed(const EndpointId& endpoint,
+                                std::uint64_t id) const {
   const auto found = this->closed.find(endpoint);
   return found != this->closed.end() &&
          std::find(found->second.begin(), found->second.end(), id) !=
              found->second.end();
 }
 
-}  // namespace acacialug::turns
+}  // namespace acacialug::maintenance
--- a/src/turns/internal/turn_keeper.cc
+++ b/src/maintenance/internal/maintenance_queue_client.cc
@@ -1,14 +1,15 @@
-#include "turns/turn_keeper.h"
+#include "maintenance/maintenance_queue_client.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace acacialug::turns {
+namespace acacialug::maintenance {
 
-TurnKeeper::TurnKeeper(TurnOptions turn_options, RandomSource& random_source)
+MaintenanceQueueClient::MaintenanceQueueClient(MaintenanceOptions turn_options,
+                                               RandomSource& random_source)
     : options(std::move(turn_options)), random(random_source) {}
 
-void TurnKeeper::SetPool(TurnPool new_pool, Instant now) {
+void MaintenanceQueueClient::SetPool(MaintenancePool new_pool, Instant now) {
   const bool other = new_pool.stream != this->pool.stream;
   this->pool = std::move(new_pool);
   if (other) {
@@ -21,35 +22,38 @@
   }
 }
 
-void TurnKeeper::SetWish(TurnWish new_wish, Instant now) {
+void MaintenanceQueueClient::SetIntent(MaintenanceIntent new_wish,
+                                       Instant now) {
   if (new_wish == this->wish) {
     return;
   }
   this->wish = new_wish;
   if (!this->settled) {
     this->due = now;
-  } else if (new_wish == TurnWish::kTurn && !this->pool.stream.empty()) {
+  } else if (new_wish == MaintenanceIntent::kEnter &&
+             !this->pool.stream.empty()) {
     this->settled = false;
     this->due = this->Spread(now);
   }
 }
 
-void TurnKeeper::OnTimer(Instant now) {
+void MaintenanceQueueClient::OnTimer(Instant now) {
   if (this->due <= now && !this->busy) {
     this->due = kNever;
     this->Pursue(now);
   }
 }
 
-Instant TurnKeeper::next_timer() const {
+Instant MaintenanceQueueClient::next_timer() const {
   return this->busy ? kNever : this->due;
 }
 
-std::vector<TurnAction> TurnKeeper::TakeActions() {
+std::vector<MaintenanceAction> MaintenanceQueueClient::TakeActions() {
   return std::exchange(this->actions, {});
 }
 
-std::optional<std::size_t> TurnKeeper::TurnAt(Instant now) const {
+std::optional<std::size_t> MaintenanceQueueClient::PermittedRank(
+    Instant now) const {
   // Behind a pause, or with the log out, what was read may be what another
   // start of this agent has long ended.
   if (!this->verified_at ||
@@ -60,8 +64,8 @@
   return rank && *rank < this->pool.allowed_out ? rank : std::nullopt;
 }
 
-void TurnKeeper::Forget() {
-  this->turn_book = TurnBook();
+void MaintenanceQueueClient::Forget() {
+  this->turn_book = MaintenanceQueue();
   this->copies.clear();
   this->read_to_end = false;
   this->verified_at.reset();
@@ -69,27 +73,28 @@
 
 // ---- what is next; called when nothing is under way ----
 
-void TurnKeeper::Pursue(Instant now) {
+void MaintenanceQueueClient::Pursue(Instant now) {
   if (!this->read_to_end) {
     this->Read(now);
     return;
   }
-  const TurnBook::Claim* own =
+  const MaintenanceQueue::Claim* own =
       this->turn_book.OpenClaimOf(this->options.endpoint);
   if (own != nullptr) {
     this->claim_id = own->id;
     this->claim_since = own->since;
   }
-  const bool releases = this->wish == TurnWish::kNone && this->NeedsRelease();
-  const bool claims = this->wish == TurnWish::kTurn && own == nullptr;
+  const bool releases =
+      this->wish == MaintenanceIntent::kNone && this->NeedsRelease();
+  const bool claims = this->wish == MaintenanceIntent::kEnter && own == nullptr;
   if ((releases || claims) && now < this->append_at) {
     this->ReadAgainAt(this->append_at);
   } else if (releases) {
     this->Release();
   } else if (claims) {
     this->Claim();
-  } else if (this->wish == TurnWish::kNone ||
-             (this->wish == TurnWish::kKeep && own == nullptr &&
+  } else if (this->wish == MaintenanceIntent::kNone ||
+             (this->wish == MaintenanceIntent::kKeep && own == nullptr &&
               this->claim_id == 0)) {
     // At rest nobody reads: thousands of agents must not poll the log.
     this->Forget();
@@ -100,32 +105,32 @@
   }
 }
 
-void TurnKeeper::ReadAgainAt(Instant when) {
+void MaintenanceQueueClient::ReadAgainAt(Instant when) {
   this->read_to_end = false;
   this->due = when;
 }
 
-bool TurnKeeper::NeedsRelease() const {
+bool MaintenanceQueueClient::NeedsRelease() const {
   return this->claim_id != 0 &&
          !this->turn_book.IsClosed(this->options.endpoint, this->claim_id);
 }
 
-void TurnKeeper::Claim() {
+void MaintenanceQueueClient::Claim() {
   // The same name again: the append before may have taken effect unseen.
   if (this->claim_id == 0 ||
       this->turn_book.IsClosed(this->options.endpoint, this->claim_id)) {
     this->claim_id = this->random.Next() | 1U;
     this->claim_since = {};
   }
-  this->Append({.kind = TurnRecordKind::kClaim,
+  this->Append({.kind = MaintenanceRecordKind::kClaim,
                 .endpoint = this->options.endpoint,
                 .id = this->claim_id,
                 .manifest = this->pool.manifest,
                 .since = this->claim_since});
 }
 
-void TurnKeeper::Release() {
-  this->Append({.kind = TurnRecordKind::kRelease,
+void MaintenanceQueueClient::Release() {
+  this->Append({.kind = MaintenanceRecordKind::kRelease,
                 .endpoint = this->options.endpoint,
                 .id = this->claim_id,
                 .manifest = this->pool.manifest});
@@ -134,13 +139,13 @@
 // The log drops a claim's record when it is old. A reader that starts later
 // would not know of an endpoint that is still out, so whoever reads copies
 // what is old; the copies of several readers count as one.
-bool TurnKeeper::CopyOne(Instant now) {
+bool MaintenanceQueueClient::CopyOne(Instant now) {
   for (const auto& [since, claim] : this->turn_book.open()) {
     const auto seen = this->copies.find(claim.endpoint);
     if (seen != this->copies.end() &&
         this->pool.members.contains(claim.endpoint) &&
         now >= seen->second.second + this->options.copy_after) {
-      this->Append({.kind = TurnRecordKind::kClaim,
+      this->Append({.kind = MaintenanceRecordKind::kClaim,
                     .endpoint = claim.endpoint,
                     .id = claim.id,
                     .manifest = this->pool.manifest,
@@ -151,7 +156,7 @@
   return false;
 }
 
-void TurnKeeper::NoteCopies(Instant now) {
+void MaintenanceQueueClient::NoteCopies(Instant now) {
   std::map<EndpointId, std::pair<LogOffset, Instant>> still;
   for (const auto& [since, claim] : this->turn_book.open()) {
     const auto before = this->copies.find(claim.endpoint);
@@ -169,22 +174,23 @@
 
 // ---- the log ----
 
-void TurnKeeper::Read(Instant now) {
+void MaintenanceQueueClient::Read(Instant now) {
   this->busy = true;
   this->read_began = now;
-  this->actions.emplace_back(ReadTurns{
+  this->actions.emplace_back(ReadMaintenanceStream{
       .stream = this->pool.stream,
       .from = LogOffset(this->turn_book.applied_through().value + 1)});
 }
 
-void TurnKeeper::Append(const TurnRecord& record) {
+void MaintenanceQueueClient::Append(const MaintenanceRecord& record) {
   this->busy = true;
   ++this->append_count;
-  this->actions.emplace_back(
-      AppendTurn{.stream = this->pool.stream, .payload = EncodeTurn(record)});
+  this->actions.emplace_back(AppendMaintenanceRecord{
+      .stream = this->pool.stream, .payload = EncodeMaintenanceRecord(record)});
 }
 
-void TurnKeeper::OnRead(const Result<cluster::ILog::Read>& read, Instant now) {
+void MaintenanceQueueClient::OnRead(const Result<cluster::ILog::Read>& read,
+                                    Instant now) {
   this->busy = false;
   if (!read.ok()) {
     this->RetryLater(now);
@@ -209,7 +215,8 @@
   this->Pursue(now);
 }
 
-void TurnKeeper::OnAppended(const Result<LogOffset>& result, Instant now) {
+void MaintenanceQueueClient::OnAppended(const Result<LogOffset>& result,
+                                        Instant now) {
   this->busy = false;
   this->read_to_end = false;
   if (!result.ok() &&
@@ -231,8 +238,8 @@
   this->Read(now);
 }
 
-Duration TurnKeeper::PollInterval() {
-  if (this->wish != TurnWish::kTurn) {
+Duration MaintenanceQueueClient::PollInterval() {
+  if (this->wish != MaintenanceIntent::kEnter) {
     return this->options.longest_poll;
   }
   const std::optional<std::size_t> rank = this->Rank();
@@ -245,17 +252,17 @@
   return FromSeconds(Seconds(bounded) * (0.75 + 0.5 * this->random.Unit()));
 }
 
-void TurnKeeper::RetryLater(Instant now) {
+void MaintenanceQueueClient::RetryLater(Instant now) {
   this->retry = std::clamp(this->retry * 2, this->options.retry_first,
                            this->options.retry_most);
   this->ReadAgainAt(now + FromSeconds(Seconds(this->retry) *
                                       (0.5 + 0.5 * this->random.Unit())));
 }
 
-Instant TurnKeeper::Spread(Instant now) {
+Instant MaintenanceQueueClient::Spread(Instant now) {
   const double most = Seconds(this->options.spread_per_member) *
                       static_cast<double>(this->pool.members.size());
   return now + FromSeconds(most * this->random.Unit());
 }
 
-}  // namespace acacialug::turns
+}  // namespace acacialug::maintenance
--- a/src/turns/internal/turn_record.cc
+++ b/src/maintenance/internal/maintenance_record.cc
@@ -1,9 +1,9 @@
-#include "turns/types/turn_record.h"
+#include "maintenance/types/maintenance_record.h"
 
 #include <nlohmann/json.hpp>
 #include <optional>
 
-namespace acacialug::turns {
+namespace acacialug::maintenance {
 namespace {
 
 using Json = nlohmann::json;
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-std::string EncodeTurn(const TurnRecord& record) {
-  return Json{{"kind", NameOf(kTurnRecordKindNames, record.kind)},
+std::string EncodeMaintenanceRecord(const MaintenanceRecord& record) {
+  return Json{{"kind", NameOf(kMaintenanceRecordKindNames, record.kind)},
               {"endpoint", record.endpoint.text},
               {"id", record.id},
               {"manifest", record.manifest.value},
@@ -33,18 +33,19 @@
       .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-Result<TurnRecord> DecodeTurn(std::string_view payload) {
+Result<MaintenanceRecord> DecodeMaintenanceRecord(std::string_view payload) {
   const Error malformed(ResultCode::kPlatformBadAnswer,
                         "record is no claim or release of a turn");
   const Json object = Json::parse(payload, nullptr, false);
   if (!object.is_object()) {
     return malformed;
   }
-  const auto kind = ValueOf(kTurnRecordKindNames, TextOf(object, "kind"));
+  const auto kind =
+      ValueOf(kMaintenanceRecordKindNames, TextOf(object, "kind"));
   const auto id = NumberOf(object, "id");
   const auto manifest = NumberOf(object, "manifest");
   const auto since = NumberOf(object, "since");
-  TurnRecord record{.endpoint = EndpointId(TextOf(object, "endpoint"))};
+  MaintenanceRecord record{.endpoint = EndpointId(TextOf(object, "endpoint"))};
   if (!kind || !id || *id == 0 || !manifest || !since ||
       record.endpoint.text.empty()) {
     return malformed;
@@ -56,4 +57,4 @@
   return record;
 }
 
-}  // namespace acacialug::turns
+}  // namespace acacialug::maintenance
--- a/src/turns/turn_book.h
+++ b/src/maintenance/maintenance_queue.h
@@ -1,5 +1,5 @@
-#ifndef TURNS_TURN_BOOK_H_
-#define TURNS_TURN_BOOK_H_
+#ifndef MAINTENANCE_MAINTENANCE_QUEUE_H_
+#define MAINTENANCE_MAINTENANCE_QUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,9 +10,9 @@
 #include <string>
 
 #include "framework/global/types/identifiers.h"
-#include "turns/types/turn_record.h"
+#include "maintenance/types/maintenance_record.h"
 
-namespace acacialug::turns {
+namespace acacialug::maintenance {
 
 // Which endpoints of a pool have asked, in which order, to be taken out of
 // service, and have not served again since: a pure function of the pool's
@@ -26,7 +26,7 @@
 // An endpoint has one open claim at most; a further one counts for nothing. A
 // claim that was closed stays closed, so that an append whose answer was lost
 // may be repeated, and one that arrives late does no harm. Not thread safe.
-class TurnBook {
+class MaintenanceQueue {
  public:
   struct Claim {
     EndpointId endpoint;
@@ -58,8 +58,8 @@
  private:
   static constexpr std::size_t kClosedKept = 4;  // of an endpoint
 
-  void Open(LogOffset offset, const TurnRecord& record);
-  void Close(const TurnRecord& record);
+  void Open(LogOffset offset, const MaintenanceRecord& record);
+  void Close(const MaintenanceRecord& record);
 
   std::map<LogOffset, Claim> claims;            // by `since`
   std::map<EndpointId, LogOffset> by_endpoint;  // its open claim's `since`
@@ -67,6 +67,6 @@
   LogOffset through;
 };
 
-}  // namespace acacialug::turns
+}  // namespace acacialug::maintenance
 
-#endif  // TURNS_TURN_BOOK_H_
+#endif  // MAINTENANCE_MAINTENANCE_QUEUE_H_
--- a/src/turns/turn_keeper.h
+++ b/src/maintenance/maintenance_queue_client.h
@@ -1,5 +1,5 @@
-#ifndef TURNS_TURN_KEEPER_H_
-#define TURNS_TURN_KEEPER_H_
+#ifndef MAINTENANCE_MAINTENANCE_QUEUE_CLIENT_H_
+#define MAINTENANCE_MAINTENANCE_QUEUE_CLIENT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -17,43 +17,44 @@
 #include "framework/global/types/identifiers.h"
 #include "framework/global/types/instant.h"
 #include "framework/global/types/result.h"
-#include "turns/turn_book.h"
+#include "maintenance/maintenance_queue.h"
 
-namespace acacialug::turns {
+namespace acacialug::maintenance {
 
 // ---- what a keeper asks of the process around it ----
 
-struct ReadTurns {
+struct ReadMaintenanceStream {
   std::string stream;
   LogOffset from;
 };
-struct AppendTurn {
+struct AppendMaintenanceRecord {
   std::string stream;
   std::string payload;
 };
-using TurnAction = std::variant<ReadTurns, AppendTurn>;
+using MaintenanceAction =
+    std::variant<ReadMaintenanceStream, AppendMaintenanceRecord>;
 
 // What the endpoint's state asks for.
-enum class TurnWish : std::uint8_t {
-  kNone,  // it serves as it should: whatever it claimed is given back
-  kKeep,  // not known, or it does not serve: neither claims nor gives back
-  kTurn,  // it serves, and has to be taken out for an order
+enum class MaintenanceIntent : std::uint8_t {
+  kNone,   // it serves as it should: whatever it claimed is given back
+  kKeep,   // not known, or it does not serve: neither claims nor gives back
+  kEnter,  // it serves, and has to be taken out for an order
 };
-inline constexpr EnumNames<TurnWish, 3> kTurnWishNames = {{
-    {TurnWish::kNone, "none"},
-    {TurnWish::kKeep, "keep"},
-    {TurnWish::kTurn, "turn"},
+inline constexpr EnumNames<MaintenanceIntent, 3> kMaintenanceIntentNames = {{
+    {MaintenanceIntent::kNone, "none"},
+    {MaintenanceIntent::kKeep, "keep"},
+    {MaintenanceIntent::kEnter, "turn"},
 }};
 
 // The pool as the manifest in force at this process has it.
-struct TurnPool {
+struct MaintenancePool {
   std::string stream;            // of the platform's log
   std::set<EndpointId> members;  // those that are not leaving
   std::size_t allowed_out = 0;   // of the members, at once
   LogOffset manifest;
 };
 
-struct TurnOptions {
+struct MaintenanceOptions {
   EndpointId endpoint;
   // A turn is used only on a reading of the stream that began within this
   // time: a process that was paused, or that has lost the log, reads again.
@@ -72,30 +73,31 @@
 // Takes the endpoint's place in its pool's order, keeps it, and gives it back.
 // One read or append at a time; an append's answer is never believed, only
 // what is read. Not thread safe; `now` never goes backwards.
-class TurnKeeper {
+class MaintenanceQueueClient {
  public:
-  TurnKeeper(TurnOptions turn_options, RandomSource& random_source);
+  MaintenanceQueueClient(MaintenanceOptions turn_options,
+                         RandomSource& random_source);
 
   // Call at each change. Another stream than before starts anew.
-  void SetPool(TurnPool pool, Instant now);
-  void SetWish(TurnWish wish, Instant now);
+  void SetPool(MaintenancePool pool, Instant now);
+  void SetIntent(MaintenanceIntent wish, Instant now);
 
   void OnRead(const Result<cluster::ILog::Read>& read, Instant now);
   void OnAppended(const Result<LogOffset>& result, Instant now);
   void OnTimer(Instant now);
   Instant next_timer() const;
-  std::vector<TurnAction> TakeActions();
+  std::vector<MaintenanceAction> TakeActions();
 
   // Other members whose claim stands before this endpoint's, if it may be
   // taken out now as far as their number tells; else empty.
-  std::optional<std::size_t> TurnAt(Instant now) const;
+  std::optional<std::size_t> PermittedRank(Instant now) const;
 
   // The same by what was read last, whatever its age and the number allowed.
   std::optional<std::size_t> Rank() const {
     return this->turn_book.RankOf(this->options.endpoint, this->pool.members);
   }
 
-  const TurnBook& book() const { return this->turn_book; }
+  const MaintenanceQueue& book() const { return this->turn_book; }
   std::uint64_t appends() const { return this->append_count; }
 
  private:
@@ -103,7 +105,7 @@
   void Pursue(Instant now);
   void Read(Instant now);
   void ReadAgainAt(Instant when);
-  void Append(const TurnRecord& record);
+  void Append(const MaintenanceRecord& record);
   bool NeedsRelease() const;
   void Claim();
   void Release();
@@ -114,11 +116,11 @@
   void RetryLater(Instant now);
   Instant Spread(Instant now);
 
-  TurnOptions options;
+  MaintenanceOptions options;
   RandomSource& random;
-  TurnPool pool;
-  TurnWish wish = TurnWish::kKeep;
-  TurnBook turn_book;
+  MaintenancePool pool;
+  MaintenanceIntent wish = MaintenanceIntent::kKeep;
+  MaintenanceQueue turn_book;
   bool busy = false;  // a read or an append is under way
   bool read_to_end = false;
   bool settled = true;  // nothing to do until the wish changes
@@ -133,9 +135,9 @@
   // When the newest record of each open claim was read here.
   std::map<EndpointId, std::pair<LogOffset, Instant>> copies;
   std::uint64_t append_count = 0;
-  std::vector<TurnAction> actions;
+  std::vector<MaintenanceAction> actions;
 };
 
-}  // namespace acacialug::turns
+}  // namespace acacialug::maintenance
 
-#endif  // TURNS_TURN_KEEPER_H_
+#endif  // MAINTENANCE_MAINTENANCE_QUEUE_CLIENT_H_
--- a/src/turns/tests/turn_keeper_test.cc
+++ b/src/maintenance/tests/maintenance_queue_client_test.cc
@@ -1,4 +1,4 @@
-#include "turns/turn_keeper.h"
+#include "maintenance/maintenance_queue_client.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,7 +7,7 @@
 
 #include "framework/testing/story.h"
 
-namespace acacialug::turns {
+namespace acacialug::maintenance {
 namespace {
 
 using testing::ForEach;
@@ -65,7 +65,7 @@
 struct Agent {
   Log& log;
   RandomSource random;
-  TurnKeeper keeper;
+  MaintenanceQueueClient keeper;
   Instant now = kStart;
 
   Agent(Log& shared_log, const char* id, std::uint64_t seed)
@@ -84,8 +84,8 @@
                          this->now);
     this->Answer();
   }
-  void Wish(TurnWish wish) {
-    this->keeper.SetWish(wish, this->now);
+  void Wish(MaintenanceIntent wish) {
+    this->keeper.SetIntent(wish, this->now);
     this->Answer();
   }
   void Pass(Duration length) {
@@ -97,16 +97,19 @@
     }
     this->now = end;
   }
-  bool MayGo() const { return this->keeper.TurnAt(this->now).has_value(); }
+  bool MayGo() const {
+    return this->keeper.PermittedRank(this->now).has_value();
+  }
 
   void Answer() {
     for (auto all = this->keeper.TakeActions(); !all.empty();
          all = this->keeper.TakeActions()) {
-      for (const TurnAction& action : all) {
-        if (const auto* append = std::get_if<AppendTurn>(&action)) {
+      for (const MaintenanceAction& action : all) {
+        if (const auto* append =
+                std::get_if<AppendMaintenanceRecord>(&action)) {
           this->keeper.OnAppended(this->log.Append(append->payload), this->now);
         } else {
-          const auto& read = std::get<ReadTurns>(action);
+          const auto& read = std::get<ReadMaintenanceStream>(action);
           this->keeper.OnRead(this->log.ReadFrom(read.from), this->now);
         }
       }
@@ -144,21 +147,21 @@
     {It("goes out when those before it serve again, and asks nothing at rest",
         [] {
           Pool pool;
-          pool.a.Wish(TurnWish::kTurn);
+          pool.a.Wish(MaintenanceIntent::kEnter);
           pool.Pass(2s);
-          pool.b.Wish(TurnWish::kTurn);
-          pool.c.Wish(TurnWish::kTurn);
+          pool.b.Wish(MaintenanceIntent::kEnter);
+          pool.c.Wish(MaintenanceIntent::kEnter);
           pool.Pass(20s);
           CPPUNIT_ASSERT(pool.a.MayGo());
           CPPUNIT_ASSERT_EQUAL(1, pool.MayGo());
-          pool.a.Wish(TurnWish::kKeep);  // it loads
+          pool.a.Wish(MaintenanceIntent::kKeep);  // it loads
           pool.Pass(20s);
           CPPUNIT_ASSERT_EQUAL(0, pool.b.MayGo() + pool.c.MayGo());
-          pool.a.Wish(TurnWish::kNone);
+          pool.a.Wish(MaintenanceIntent::kNone);
           pool.Pass(5s);
           CPPUNIT_ASSERT_EQUAL(1, pool.b.MayGo() + pool.c.MayGo());
           for (Agent* agent : {&pool.b, &pool.c}) {
-            agent->Wish(TurnWish::kNone);
+            agent->Wish(MaintenanceIntent::kNone);
           }
           pool.Pass(60s);
           CPPUNIT_ASSERT(pool.a.keeper.next_timer() == kNever);
@@ -181,13 +184,14 @@
            Agent a(log, "a", 1);
            Agent b(log, "b", 2);
            if (!row.claims) {
-             a.Wish(TurnWish::kTurn);
+             a.Wish(MaintenanceIntent::kEnter);
              a.Pass(5s);
-             b.Wish(TurnWish::kTurn);
+             b.Wish(MaintenanceIntent::kEnter);
              b.Pass(5s);
            }
            log.fault = row.fault;
-           a.Wish(row.claims ? TurnWish::kTurn : TurnWish::kNone);
+           a.Wish(row.claims ? MaintenanceIntent::kEnter
+                             : MaintenanceIntent::kNone);
            a.Pass(3s);
            b.Pass(3s);
            const auto done = [&] { return row.claims ? a.MayGo() : b.MayGo(); };
@@ -205,16 +209,16 @@
         [] {
           Log log{.fault = Fault::kLate};
           Agent a(log, "a", 1);
-          a.Wish(TurnWish::kTurn);
+          a.Wish(MaintenanceIntent::kEnter);
           a.Pass(5s);
           log.fault = Fault::kNone;
-          a.Wish(TurnWish::kNone);
+          a.Wish(MaintenanceIntent::kNone);
           a.Pass(60s);
           CPPUNIT_ASSERT(a.keeper.next_timer() == kNever);
           log.records.insert(log.records.end(), log.late.begin(),
                              log.late.end());
           Agent b(log, "b", 2);
-          b.Wish(TurnWish::kTurn);
+          b.Wish(MaintenanceIntent::kEnter);
           b.Pass(10s);
           CPPUNIT_ASSERT(b.MayGo());
         }),
@@ -225,14 +229,14 @@
         [] {
           Log log;
           Agent old(log, "a", 1);
-          old.Wish(TurnWish::kTurn);
+          old.Wish(MaintenanceIntent::kEnter);
           old.Pass(5s);
           CPPUNIT_ASSERT(old.MayGo());
           Agent successor(log, "a", 3);
-          successor.Wish(TurnWish::kNone);
+          successor.Wish(MaintenanceIntent::kNone);
           successor.Pass(5s);
           Agent b(log, "b", 2);
-          b.Wish(TurnWish::kTurn);
+          b.Wish(MaintenanceIntent::kEnter);
           b.Pass(5s);
           CPPUNIT_ASSERT(b.MayGo());
           old.now += 20s;
@@ -246,16 +250,16 @@
      It("does not go in place of one that died in its turn",
         [] {
           Pool pool;
-          pool.a.Wish(TurnWish::kTurn);
+          pool.a.Wish(MaintenanceIntent::kEnter);
           pool.a.Pass(5s);
-          pool.b.Wish(TurnWish::kTurn);
+          pool.b.Wish(MaintenanceIntent::kEnter);
           pool.b.Pass(2h);
           CPPUNIT_ASSERT(!pool.b.MayGo());
           Agent successor(pool.log, "a", 9);
           successor.Pass(5s);  // its engine still loads
           pool.b.Pass(1min);
           CPPUNIT_ASSERT(!pool.b.MayGo());
-          successor.Wish(TurnWish::kNone);
+          successor.Wish(MaintenanceIntent::kNone);
           successor.Pass(1min);
           pool.b.Pass(1min);
           CPPUNIT_ASSERT(pool.b.MayGo());
@@ -263,9 +267,9 @@
      It("goes when the manifest no longer counts who is before it",
         [] {
           Pool pool;
-          pool.a.Wish(TurnWish::kTurn);
+          pool.a.Wish(MaintenanceIntent::kEnter);
           pool.a.Pass(5s);
-          pool.b.Wish(TurnWish::kTurn);
+          pool.b.Wish(MaintenanceIntent::kEnter);
           pool.b.Pass(5s);
           CPPUNIT_ASSERT(!pool.b.MayGo());
           pool.b.SetPool(1, {EndpointId("b"), EndpointId("c")});
@@ -275,12 +279,12 @@
      // one's claim, and an agent starts that never read it.
      It("copies the claims of others before the log drops them", [] {
        Pool pool;
-       pool.a.Wish(TurnWish::kTurn);
+       pool.a.Wish(MaintenanceIntent::kEnter);
        pool.a.Pass(5s);
-       pool.b.Wish(TurnWish::kTurn);
+       pool.b.Wish(MaintenanceIntent::kEnter);
        pool.b.Pass(4h);
        pool.log.first_kept = 3;  // the two claims are gone
-       pool.c.Wish(TurnWish::kTurn);
+       pool.c.Wish(MaintenanceIntent::kEnter);
        pool.c.Pass(1min);
        CPPUNIT_ASSERT(!pool.c.MayGo());
        CPPUNIT_ASSERT(pool.c.keeper.Rank() == std::optional<std::size_t>(2));
@@ -288,4 +292,4 @@
      })});
 
 }  // namespace
-}  // namespace acacialug::turns
+}  // namespace acacialug::maintenance
--- a/src/turns/tests/turn_book_test.cc
+++ b/src/maintenance/tests/maintenance_queue_test.cc
@@ -1,4 +1,4 @@
-#include "turns/turn_book.h"
+#include "maintenance/maintenance_queue.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -6,7 +6,7 @@
 
 #include "framework/testing/story.h"
 
-namespace acacialug::turns {
+namespace acacialug::maintenance {
 namespace {
 
 using testing::ForEach;
@@ -18,18 +18,18 @@
 std::string Claims(const char* endpoint,
                    std::uint64_t id,
                    std::uint64_t since = 0) {
-  return EncodeTurn(
+  return EncodeMaintenanceRecord(
       {.endpoint = EndpointId(endpoint), .id = id, .since = LogOffset(since)});
 }
 
 std::string Releases(const char* endpoint, std::uint64_t id) {
-  return EncodeTurn({.kind = TurnRecordKind::kRelease,
-                     .endpoint = EndpointId(endpoint),
-                     .id = id});
+  return EncodeMaintenanceRecord({.kind = MaintenanceRecordKind::kRelease,
+                                  .endpoint = EndpointId(endpoint),
+                                  .id = id});
 }
 
 // The ranks of a, b and c; "-" without an open claim.
-std::string RanksIn(const TurnBook& book) {
+std::string RanksIn(const MaintenanceQueue& book) {
   std::string text;
   for (const EndpointId& member : kMembers) {
     const auto rank = book.RankOf(member, kMembers);
@@ -81,7 +81,7 @@
            "0--"}},
          [](const BookRow& row) { return row.name; },
          [](const BookRow& row) {
-           TurnBook book;
+           MaintenanceQueue book;
            std::uint64_t offset = 0;
            for (const std::string& record : row.records) {
              book.Apply(LogOffset(++offset), record);
@@ -98,7 +98,7 @@
            Releases("c", 1),  Releases("a", 2), Claims("c", 4),
            Claims("b", 3, 3), Claims("a", 5),   Releases("b", 3),
        };
-       TurnBook book;
+       MaintenanceQueue book;
        std::optional<std::size_t> before;
        std::uint64_t offset = 0;
        for (const std::string& record : records) {
@@ -110,4 +110,4 @@
      })});
 
 }  // namespace
-}  // namespace acacialug::turns
+}  // namespace acacialug::maintenance
--- a/src/scenario/internal/agent_host.cc
+++ b/src/scenario/internal/agent_host.cc
@@ -193,7 +193,7 @@
   }
 }
 
-void AgentHost::Run(const agent::ReadTurns& action) {
+void AgentHost::Run(const agent::ReadMaintenanceStream& action) {
   this->parts.log.ReadFrom(
       action.stream, action.from, Duration::zero(),
       [this, later = this->Later()](const Result<cluster::ILog::Read>& result) {
@@ -203,7 +203,7 @@
       });
 }
 
-void AgentHost::Run(const agent::AppendTurn& action) {
+void AgentHost::Run(const agent::AppendMaintenanceRecord& action) {
   this->parts.log.Append(
       action.stream, action.payload,
       [this, later = this->Later()](const Result<LogOffset>& result) {
--- a/src/scenario/internal/agent_host.h
+++ b/src/scenario/internal/agent_host.h
@@ -62,8 +62,8 @@
   void Run(const agent::SendToEntry& action);
   void Run(const agent::CloseSession& action);
   void Run(const agent::ExecuteOnEngine& action);
-  void Run(const agent::ReadTurns& action);
-  void Run(const agent::AppendTurn& action);
+  void Run(const agent::ReadMaintenanceStream& action);
+  void Run(const agent::AppendMaintenanceRecord& action);
 
   WorldParts parts;
   EngineHost& engine;
