--- a/src/maintenance/internal/maintenance_queue.cc
+++ b/src/maintenance/internal/maintenance_queue.cc
@@ -32,9 +32,9 @@
     }
     return;
   }
-  // Of a copy the first record may be gone from the log; the place in the
-  // order is still that one's. Two claims of one place: the copy names what
-  // it cannot know, and goes behind.
+  // The claim's first record may be gone from the log; a copy still takes the
+  // queue position of that record. When another claim has this position, the
+  // copy's `since` cannot be right, and the copy is queued at its own offset.
   LogOffset since =
       record.since.value == 0 || record.since > offset ? offset : record.since;
   if (this->claims.contains(since)) {
--- a/src/maintenance/internal/maintenance_queue_client.cc
+++ b/src/maintenance/internal/maintenance_queue_client.cc
@@ -5,42 +5,43 @@
 
 namespace acacialug::maintenance {
 
-MaintenanceQueueClient::MaintenanceQueueClient(MaintenanceOptions turn_options,
-                                               RandomSource& random_source)
-    : options(std::move(turn_options)), random(random_source) {}
+MaintenanceQueueClient::MaintenanceQueueClient(
+    MaintenanceOptions client_options,
+    RandomSource& random_source)
+    : options(std::move(client_options)), random(random_source) {}
 
 void MaintenanceQueueClient::SetPool(MaintenancePool new_pool, Instant now) {
   const bool other = new_pool.stream != this->pool.stream;
   this->pool = std::move(new_pool);
   if (other) {
-    // A predecessor on this host may have died in its turn: its claim stands
-    // under this endpoint's name, and only this process can give it back.
-    this->Forget();
+    // A previous agent process of this endpoint may have died with an open
+    // claim, which only this process can release.
+    this->ClearReadState();
     this->claim_id = 0;
-    this->settled = false;
-    this->due = this->Spread(now);
+    this->idle = false;
+    this->due = this->RandomizedStart(now);
   }
 }
 
-void MaintenanceQueueClient::SetIntent(MaintenanceIntent new_wish,
+void MaintenanceQueueClient::SetIntent(MaintenanceIntent new_intent,
                                        Instant now) {
-  if (new_wish == this->wish) {
+  if (new_intent == this->intent) {
     return;
   }
-  this->wish = new_wish;
-  if (!this->settled) {
+  this->intent = new_intent;
+  if (!this->idle) {
     this->due = now;
-  } else if (new_wish == MaintenanceIntent::kEnter &&
+  } else if (new_intent == MaintenanceIntent::kEnter &&
              !this->pool.stream.empty()) {
-    this->settled = false;
-    this->due = this->Spread(now);
+    this->idle = false;
+    this->due = this->RandomizedStart(now);
   }
 }
 
 void MaintenanceQueueClient::OnTimer(Instant now) {
   if (this->due <= now && !this->busy) {
     this->due = kNever;
-    this->Pursue(now);
+    this->Proceed(now);
   }
 }
 
@@ -54,8 +55,8 @@
 
 std::optional<std::size_t> MaintenanceQueueClient::PermittedRank(
     Instant now) const {
-  // Behind a pause, or with the log out, what was read may be what another
-  // start of this agent has long ended.
+  // After a process pause, or while the log is unavailable, the last read may
+  // show a claim that a later start of this agent has already released.
   if (!this->verified_at ||
       now > *this->verified_at + this->options.fresh_for) {
     return std::nullopt;
@@ -64,61 +65,62 @@
   return rank && *rank < this->pool.allowed_out ? rank : std::nullopt;
 }
 
-void MaintenanceQueueClient::Forget() {
-  this->turn_book = MaintenanceQueue();
+void MaintenanceQueueClient::ClearReadState() {
+  this->queue = MaintenanceQueue();
   this->copies.clear();
   this->read_to_end = false;
   this->verified_at.reset();
 }
 
-// ---- what is next; called when nothing is under way ----
+// ---- the next step; called when no read or append is in progress ----
 
-void MaintenanceQueueClient::Pursue(Instant now) {
+void MaintenanceQueueClient::Proceed(Instant now) {
   if (!this->read_to_end) {
     this->Read(now);
     return;
   }
   const MaintenanceQueue::Claim* own =
-      this->turn_book.OpenClaimOf(this->options.endpoint);
+      this->queue.OpenClaimOf(this->options.endpoint);
   if (own != nullptr) {
     this->claim_id = own->id;
     this->claim_since = own->since;
   }
   const bool releases =
-      this->wish == MaintenanceIntent::kNone && this->NeedsRelease();
-  const bool claims = this->wish == MaintenanceIntent::kEnter && own == nullptr;
+      this->intent == MaintenanceIntent::kNone && this->NeedsRelease();
+  const bool claims =
+      this->intent == MaintenanceIntent::kEnter && own == nullptr;
   if ((releases || claims) && now < this->append_at) {
-    this->ReadAgainAt(this->append_at);
+    this->ScheduleRead(this->append_at);
   } else if (releases) {
     this->Release();
   } else if (claims) {
     this->Claim();
-  } else if (this->wish == MaintenanceIntent::kNone ||
-             (this->wish == MaintenanceIntent::kKeep && own == nullptr &&
+  } else if (this->intent == MaintenanceIntent::kNone ||
+             (this->intent == MaintenanceIntent::kKeep && own == nullptr &&
               this->claim_id == 0)) {
-    // At rest nobody reads: thousands of agents must not poll the log.
-    this->Forget();
+    // An idle client does not read: thousands of agents must not poll the log.
+    this->ClearReadState();
     this->claim_id = 0;
-    this->settled = true;
+    this->idle = true;
   } else if (!this->CopyOne(now)) {
-    this->ReadAgainAt(now + this->PollInterval());
+    this->ScheduleRead(now + this->PollInterval());
   }
 }
 
-void MaintenanceQueueClient::ReadAgainAt(Instant when) {
+void MaintenanceQueueClient::ScheduleRead(Instant when) {
   this->read_to_end = false;
   this->due = when;
 }
 
 bool MaintenanceQueueClient::NeedsRelease() const {
   return this->claim_id != 0 &&
-         !this->turn_book.IsClosed(this->options.endpoint, this->claim_id);
+         !this->queue.IsClosed(this->options.endpoint, this->claim_id);
 }
 
 void MaintenanceQueueClient::Claim() {
-  // The same name again: the append before may have taken effect unseen.
+  // Reuses the id: an earlier append may have taken effect without an answer.
   if (this->claim_id == 0 ||
-      this->turn_book.IsClosed(this->options.endpoint, this->claim_id)) {
+      this->queue.IsClosed(this->options.endpoint, this->claim_id)) {
     this->claim_id = this->random.Next() | 1U;
     this->claim_since = {};
   }
@@ -136,11 +138,11 @@
                 .manifest = this->pool.manifest});
 }
 
-// The log drops a claim's record when it is old. A reader that starts later
-// would not know of an endpoint that is still out, so whoever reads copies
-// what is old; the copies of several readers count as one.
+// Log retention drops old records. A reader that starts later would not know
+// of an endpoint that is still out of service, so every reader copies old
+// open claims; copies by several readers count as one claim.
 bool MaintenanceQueueClient::CopyOne(Instant now) {
-  for (const auto& [since, claim] : this->turn_book.open()) {
+  for (const auto& [since, claim] : this->queue.open()) {
     const auto seen = this->copies.find(claim.endpoint);
     if (seen != this->copies.end() &&
         this->pool.members.contains(claim.endpoint) &&
@@ -157,29 +159,29 @@
 }
 
 void MaintenanceQueueClient::NoteCopies(Instant now) {
-  std::map<EndpointId, std::pair<LogOffset, Instant>> still;
-  for (const auto& [since, claim] : this->turn_book.open()) {
+  std::map<EndpointId, std::pair<LogOffset, Instant>> open_copies;
+  for (const auto& [since, claim] : this->queue.open()) {
     const auto before = this->copies.find(claim.endpoint);
     const bool same =
         before != this->copies.end() && before->second.first == claim.newest;
-    // Spread, so that seldom two readers copy the same.
+    // Randomized, so that two readers rarely copy the same claim.
     const Instant read_at =
         now + FromSeconds(Seconds(this->options.copy_after) * 0.5 *
                           this->random.Unit());
-    still[claim.endpoint] =
+    open_copies[claim.endpoint] =
         same ? before->second : std::pair(claim.newest, read_at);
   }
-  this->copies = std::move(still);
+  this->copies = std::move(open_copies);
 }
 
 // ---- the log ----
 
 void MaintenanceQueueClient::Read(Instant now) {
   this->busy = true;
-  this->read_began = now;
+  this->read_started_at = now;
   this->actions.emplace_back(ReadMaintenanceStream{
       .stream = this->pool.stream,
-      .from = LogOffset(this->turn_book.applied_through().value + 1)});
+      .from = LogOffset(this->queue.applied_through().value + 1)});
 }
 
 void MaintenanceQueueClient::Append(const MaintenanceRecord& record) {
@@ -197,22 +199,22 @@
     return;
   }
   this->retry = {};
-  const LogOffset through = this->turn_book.applied_through();
+  const LogOffset through = this->queue.applied_through();
   if (through.value > 0 && read->first_kept.value > through.value + 1) {
-    // Releases may stand in the gap: begin anew with what the log has.
-    this->Forget();
+    // The gap may contain releases: start again from what the log holds.
+    this->ClearReadState();
   }
   for (const cluster::ILog::Record& record : read->records) {
-    this->turn_book.Apply(record.offset, record.payload);
+    this->queue.Apply(record.offset, record.payload);
   }
   this->NoteCopies(now);
   this->read_to_end =
       read->records.empty() ||
-      this->turn_book.applied_through().value + 1 >= read->next.value;
+      this->queue.applied_through().value + 1 >= read->next.value;
   if (this->read_to_end) {
-    this->verified_at = this->read_began;
+    this->verified_at = this->read_started_at;
   }
-  this->Pursue(now);
+  this->Proceed(now);
 }
 
 void MaintenanceQueueClient::OnAppended(const Result<LogOffset>& result,
@@ -227,19 +229,19 @@
   if (result.ok()) {
     this->append_retry = {};
   } else {
-    // It is repeated if it is not read, but not at once: an answer may be lost
-    // because the log has too much to do.
+    // An append that isn't found in the log is repeated, but only after a
+    // delay: the answer may have been lost because the log is overloaded.
     this->append_retry =
-        std::clamp(this->append_retry * 2, this->options.retry_first,
-                   this->options.retry_most);
+        std::clamp(this->append_retry * 2, this->options.initial_retry_delay,
+                   this->options.max_retry_delay);
     this->append_at = now + this->append_retry;
   }
-  // Known or not: what counts is what stands there.
+  // Whatever the answer, only the records in the log count.
   this->Read(now);
 }
 
 Duration MaintenanceQueueClient::PollInterval() {
-  if (this->wish != MaintenanceIntent::kEnter) {
+  if (this->intent != MaintenanceIntent::kEnter) {
     return this->options.longest_poll;
   }
   const std::optional<std::size_t> rank = this->Rank();
@@ -253,16 +255,16 @@
 }
 
 void MaintenanceQueueClient::RetryLater(Instant now) {
-  this->retry = std::clamp(this->retry * 2, this->options.retry_first,
-                           this->options.retry_most);
-  this->ReadAgainAt(now + FromSeconds(Seconds(this->retry) *
-                                      (0.5 + 0.5 * this->random.Unit())));
+  this->retry = std::clamp(this->retry * 2, this->options.initial_retry_delay,
+                           this->options.max_retry_delay);
+  this->ScheduleRead(now + FromSeconds(Seconds(this->retry) *
+                                       (0.5 + 0.5 * this->random.Unit())));
 }
 
-Instant MaintenanceQueueClient::Spread(Instant now) {
-  const double most = Seconds(this->options.spread_per_member) *
-                      static_cast<double>(this->pool.members.size());
-  return now + FromSeconds(most * this->random.Unit());
+Instant MaintenanceQueueClient::RandomizedStart(Instant now) {
+  const double max_delay = Seconds(this->options.spread_per_member) *
+                           static_cast<double>(this->pool.members.size());
+  return now + FromSeconds(max_delay * this->random.Unit());
 }
 
 }  // namespace acacialug::maintenance
--- a/src/maintenance/internal/maintenance_record.cc
+++ b/src/maintenance/internal/maintenance_record.cc
@@ -34,8 +34,9 @@
 }
 
 Result<MaintenanceRecord> DecodeMaintenanceRecord(std::string_view payload) {
-  const Error malformed(ResultCode::kPlatformBadAnswer,
-                        "record is no claim or release of a turn");
+  const Error malformed(
+      ResultCode::kPlatformBadAnswer,
+      "record is not a claim or release of the maintenance queue");
   const Json object = Json::parse(payload, nullptr, false);
   if (!object.is_object()) {
     return malformed;
--- a/src/maintenance/maintenance_queue.h
+++ b/src/maintenance/maintenance_queue.h
@@ -14,55 +14,57 @@
 
 namespace acacialug::maintenance {
 
-// Which endpoints of a pool have asked, in which order, to be taken out of
-// service, and have not served again since: a pure function of the pool's
-// stream, so that every reader agrees. There is no clock in it. A claim that
-// stands stays until its endpoint serves again: an endpoint whose agent died
-// in its turn does not serve, and others must not go out in its place.
+// The endpoints of a pool that have requested to be taken out of service and
+// have not served since, in the order of their requests. The queue is a pure
+// function of the pool's log stream, so that all readers agree; it uses no
+// clock. An open claim stays open until its endpoint serves again: an endpoint
+// whose agent died while it was out of service does not serve, and no other
+// endpoint may leave service in its place.
 //
-// Claims before one's own can only become fewer. So a reader that lags never
-// takes a turn that a reader of more records would deny it.
+// The number of claims before a given claim never grows. A reader that lags
+// therefore never permits what a reader of more records would refuse.
 //
-// An endpoint has one open claim at most; a further one counts for nothing. A
-// claim that was closed stays closed, so that an append whose answer was lost
-// may be repeated, and one that arrives late does no harm. Not thread safe.
+// An endpoint has at most one open claim; further claims are ignored. A closed
+// claim stays closed, so that an append whose answer was lost can be repeated,
+// and an append that takes effect late does no harm. Not thread safe.
 class MaintenanceQueue {
  public:
   struct Claim {
     EndpointId endpoint;
     std::uint64_t id = 0;
-    LogOffset since;   // its place in the order
-    LogOffset newest;  // the newest record that repeats it
+    LogOffset since;   // determines its position in the queue
+    LogOffset newest;  // of the newest record that repeats the claim
   };
 
-  // Applies the record at `offset`; an offset already applied is ignored, and
-  // so are bytes that are no record. Precondition: no record between was left
-  // out.
+  // Applies the record at `offset`. Ignores an offset that was applied before
+  // and a payload that is not a valid record. Precondition: the caller applies
+  // all records in order, without gaps.
   void Apply(LogOffset offset, const std::string& payload);
 
-  // Null when the endpoint has none. Valid until the next Apply.
+  // Null when the endpoint has no open claim. Valid until the next Apply.
   const Claim* OpenClaimOf(const EndpointId& endpoint) const;
 
-  // How many other members of the pool asked before the endpoint, and do not
-  // serve again yet; empty when it has no open claim.
+  // The number of other members of the pool whose open claims stand before the
+  // endpoint's; empty when the endpoint has no open claim.
   std::optional<std::size_t> RankOf(const EndpointId& endpoint,
                                     const std::set<EndpointId>& members) const;
 
-  // The endpoint released this claim. Only its newest few are known.
+  // Whether the endpoint released this claim. Only the newest kClosedKept
+  // releases of each endpoint are known.
   bool IsClosed(const EndpointId& endpoint, std::uint64_t id) const;
 
-  // In their order.
+  // Open claims in queue order.
   const std::map<LogOffset, Claim>& open() const { return this->claims; }
   LogOffset applied_through() const { return this->through; }
 
  private:
-  static constexpr std::size_t kClosedKept = 4;  // of an endpoint
+  static constexpr std::size_t kClosedKept = 4;  // per endpoint
 
   void Open(LogOffset offset, const MaintenanceRecord& record);
   void Close(const MaintenanceRecord& record);
 
   std::map<LogOffset, Claim> claims;            // by `since`
-  std::map<EndpointId, LogOffset> by_endpoint;  // its open claim's `since`
+  std::map<EndpointId, LogOffset> by_endpoint;  // `since` of its open claim
   std::map<EndpointId, std::deque<std::uint64_t>> closed;
   LogOffset through;
 };
--- a/src/maintenance/maintenance_queue_client.h
+++ b/src/maintenance/maintenance_queue_client.h
@@ -21,7 +21,7 @@
 
 namespace acacialug::maintenance {
 
-// ---- what a keeper asks of the process around it ----
+// ---- actions that the process around the client carries out ----
 
 struct ReadMaintenanceStream {
   std::string stream;
@@ -34,11 +34,11 @@
 using MaintenanceAction =
     std::variant<ReadMaintenanceStream, AppendMaintenanceRecord>;
 
-// What the endpoint's state asks for.
+// What the endpoint's state requires.
 enum class MaintenanceIntent : std::uint8_t {
-  kNone,   // it serves as it should: whatever it claimed is given back
-  kKeep,   // not known, or it does not serve: neither claims nor gives back
-  kEnter,  // it serves, and has to be taken out for an order
+  kNone,   // the endpoint serves as configured: its claim is released
+  kKeep,   // unknown, or the endpoint does not serve: no claim or release
+  kEnter,  // the endpoint serves, and has to leave service for an order
 };
 inline constexpr EnumNames<MaintenanceIntent, 3> kMaintenanceIntentNames = {{
     {MaintenanceIntent::kNone, "none"},
@@ -46,41 +46,44 @@
     {MaintenanceIntent::kEnter, "turn"},
 }};
 
-// The pool as the manifest in force at this process has it.
+// The pool as defined by the manifest that is active in this process.
 struct MaintenancePool {
   std::string stream;            // of the platform's log
-  std::set<EndpointId> members;  // those that are not leaving
-  std::size_t allowed_out = 0;   // of the members, at once
+  std::set<EndpointId> members;  // without those that are leaving
+  std::size_t allowed_out = 0;   // members out of service at once
   LogOffset manifest;
 };
 
 struct MaintenanceOptions {
   EndpointId endpoint;
-  // A turn is used only on a reading of the stream that began within this
-  // time: a process that was paused, or that has lost the log, reads again.
+  // Permission to leave service requires a read of the stream that began
+  // within this time: a process that was paused, or whose log is unavailable,
+  // has to read again first.
   Duration fresh_for = 5s;
-  Duration shortest_poll = 1s;  // of who may go next
-  Duration longest_poll = 30s;  // of who is far behind
-  // Spreads a pool's first appends: this much for each member.
+  Duration shortest_poll = 1s;  // when few claims stand before this one
+  Duration longest_poll = 30s;  // when many claims stand before this one
+  // A pool's first appends are spread over this duration times the number of
+  // members.
   Duration spread_per_member = 50ms;
-  Duration retry_first = 500ms;  // after a failure, doubled
-  Duration retry_most = 30s;     // up to this
-  // An open claim is copied when its newest record was read so long ago, by
-  // whoever reads; well below the log's retention.
+  Duration initial_retry_delay = 500ms;  // doubled after each failure
+  Duration max_retry_delay = 30s;        // limit of the doubling
+  // Any reader copies an open claim when the claim's newest record was read
+  // this long ago. Must be well below the log's retention.
   Duration copy_after = 1h;
 };
 
-// Takes the endpoint's place in its pool's order, keeps it, and gives it back.
-// One read or append at a time; an append's answer is never believed, only
-// what is read. Not thread safe; `now` never goes backwards.
+// Claims a position in the pool's maintenance queue for the endpoint, keeps the
+// claim in the log, and releases it. Runs one read or append at a time. The
+// answer to an append is never relied on; only records that are read count.
+// Not thread safe; `now` never goes backwards.
 class MaintenanceQueueClient {
  public:
-  MaintenanceQueueClient(MaintenanceOptions turn_options,
+  MaintenanceQueueClient(MaintenanceOptions client_options,
                          RandomSource& random_source);
 
-  // Call at each change. Another stream than before starts anew.
+  // To be called at each change. A change of the stream resets the client.
   void SetPool(MaintenancePool pool, Instant now);
-  void SetIntent(MaintenanceIntent wish, Instant now);
+  void SetIntent(MaintenanceIntent intent, Instant now);
 
   void OnRead(const Result<cluster::ILog::Read>& read, Instant now);
   void OnAppended(const Result<LogOffset>& result, Instant now);
@@ -88,51 +91,53 @@
   Instant next_timer() const;
   std::vector<MaintenanceAction> TakeActions();
 
-  // Other members whose claim stands before this endpoint's, if it may be
-  // taken out now as far as their number tells; else empty.
+  // The number of other members whose claims stand before this endpoint's, if
+  // that number permits the endpoint to leave service now; else empty.
   std::optional<std::size_t> PermittedRank(Instant now) const;
 
-  // The same by what was read last, whatever its age and the number allowed.
+  // The same number by the last read, regardless of the read's age and of the
+  // number of members that may be out.
   std::optional<std::size_t> Rank() const {
-    return this->turn_book.RankOf(this->options.endpoint, this->pool.members);
+    return this->queue.RankOf(this->options.endpoint, this->pool.members);
   }
 
-  const MaintenanceQueue& book() const { return this->turn_book; }
+  const MaintenanceQueue& claims() const { return this->queue; }
   std::uint64_t appends() const { return this->append_count; }
 
  private:
-  void Forget();
-  void Pursue(Instant now);
+  void ClearReadState();
+  void Proceed(Instant now);
   void Read(Instant now);
-  void ReadAgainAt(Instant when);
+  void ScheduleRead(Instant when);
   void Append(const MaintenanceRecord& record);
   bool NeedsRelease() const;
   void Claim();
   void Release();
-  // A copy that is due, if there is one.
+  // Appends a copy of one claim if a copy is due; returns whether it did.
   bool CopyOne(Instant now);
   void NoteCopies(Instant now);
   Duration PollInterval();
   void RetryLater(Instant now);
-  Instant Spread(Instant now);
+  Instant RandomizedStart(Instant now);
 
   MaintenanceOptions options;
   RandomSource& random;
   MaintenancePool pool;
-  MaintenanceIntent wish = MaintenanceIntent::kKeep;
-  MaintenanceQueue turn_book;
-  bool busy = false;  // a read or an append is under way
+  MaintenanceIntent intent = MaintenanceIntent::kKeep;
+  MaintenanceQueue queue;
+  bool busy = false;  // a read or an append is in progress
   bool read_to_end = false;
-  bool settled = true;  // nothing to do until the wish changes
+  bool idle = true;  // nothing to do until the intent changes
   Instant due = kNever;
-  Instant read_began{};
+  Instant read_started_at{};
   std::optional<Instant> verified_at;
-  Duration retry{};            // of what failed
-  Duration append_retry{};     // of appends without an answer
-  Instant append_at{};         // the next one not before
-  std::uint64_t claim_id = 0;  // claimed, and not known to be closed
-  LogOffset claim_since;       // where it was read first
-  // When the newest record of each open claim was read here.
+  Duration retry{};            // after failed requests
+  Duration append_retry{};     // after appends with an unknown outcome
+  Instant append_at{};         // earliest time of the next append
+  std::uint64_t claim_id = 0;  // claimed and not known to be closed; 0: none
+  LogOffset claim_since;       // offset at which the claim was first read
+  // The newest record of each open claim, and when this client read it (with a
+  // random offset, see NoteCopies).
   std::map<EndpointId, std::pair<LogOffset, Instant>> copies;
   std::uint64_t append_count = 0;
   std::vector<MaintenanceAction> actions;
--- a/src/maintenance/tests/maintenance_queue_client_test.cc
+++ b/src/maintenance/tests/maintenance_queue_client_test.cc
@@ -19,11 +19,11 @@
 // How the log treats appends and reads.
 enum class Fault : std::uint8_t {
   kNone,
-  kOut,         // nothing passes
-  kNotTaken,    // appends alone are refused
-  kAnswerLost,  // the append took effect, nobody hears of it
-  kLost,        // it did not, and the agent cannot know
-  kLate,        // it takes effect only when the test says so
+  kUnavailable,  // reads and appends fail
+  kRefused,      // only appends fail
+  kAnswerLost,   // the append takes effect, but its answer is lost
+  kLost,         // the append has no effect, and its outcome is unknown
+  kLate,         // the append takes effect only when the test applies it
 };
 
 // The pool's stream as a plain list.
@@ -34,7 +34,7 @@
   Fault fault = Fault::kNone;
 
   Result<LogOffset> Append(const std::string& payload) {
-    if (this->fault == Fault::kOut || this->fault == Fault::kNotTaken) {
+    if (this->fault == Fault::kUnavailable || this->fault == Fault::kRefused) {
       return Error(ResultCode::kPlatformUnavailable);
     }
     if (this->fault == Fault::kLate) {
@@ -48,7 +48,7 @@
   }
 
   Result<cluster::ILog::Read> ReadFrom(LogOffset from) const {
-    if (this->fault == Fault::kOut) {
+    if (this->fault == Fault::kUnavailable) {
       return Error(ResultCode::kPlatformUnavailable);
     }
     cluster::ILog::Read read{.first_kept = LogOffset(this->first_kept),
@@ -61,56 +61,57 @@
   }
 };
 
-// One agent's keeper; it answers at once, and time moves by Pass.
+// One agent's client, whose actions are carried out at once; AdvanceBy advances
+// the time.
 struct Agent {
   Log& log;
   RandomSource random;
-  MaintenanceQueueClient keeper;
+  MaintenanceQueueClient client;
   Instant now = kStart;
 
   Agent(Log& shared_log, const char* id, std::uint64_t seed)
       : log(shared_log),
         random(seed),
-        keeper({.endpoint = EndpointId(id)}, this->random) {
+        client({.endpoint = EndpointId(id)}, this->random) {
     this->SetPool(1);
   }
 
   void SetPool(std::size_t allowed,
                std::set<EndpointId> members = {EndpointId("a"), EndpointId("b"),
                                                EndpointId("c")}) {
-    this->keeper.SetPool({.stream = kStream,
+    this->client.SetPool({.stream = kStream,
                           .members = std::move(members),
                           .allowed_out = allowed},
                          this->now);
     this->Answer();
   }
-  void Wish(MaintenanceIntent wish) {
-    this->keeper.SetIntent(wish, this->now);
+  void SetIntent(MaintenanceIntent intent) {
+    this->client.SetIntent(intent, this->now);
     this->Answer();
   }
-  void Pass(Duration length) {
+  void AdvanceBy(Duration length) {
     const Instant end = this->now + length;
-    while (this->keeper.next_timer() <= end) {
-      this->now = std::max(this->now, this->keeper.next_timer());
-      this->keeper.OnTimer(this->now);
+    while (this->client.next_timer() <= end) {
+      this->now = std::max(this->now, this->client.next_timer());
+      this->client.OnTimer(this->now);
       this->Answer();
     }
     this->now = end;
   }
-  bool MayGo() const {
-    return this->keeper.PermittedRank(this->now).has_value();
+  bool MayLeave() const {
+    return this->client.PermittedRank(this->now).has_value();
   }
 
   void Answer() {
-    for (auto all = this->keeper.TakeActions(); !all.empty();
-         all = this->keeper.TakeActions()) {
+    for (auto all = this->client.TakeActions(); !all.empty();
+         all = this->client.TakeActions()) {
       for (const MaintenanceAction& action : all) {
         if (const auto* append =
                 std::get_if<AppendMaintenanceRecord>(&action)) {
-          this->keeper.OnAppended(this->log.Append(append->payload), this->now);
+          this->client.OnAppended(this->log.Append(append->payload), this->now);
         } else {
           const auto& read = std::get<ReadMaintenanceStream>(action);
-          this->keeper.OnRead(this->log.ReadFrom(read.from), this->now);
+          this->client.OnRead(this->log.ReadFrom(read.from), this->now);
         }
       }
     }
@@ -123,59 +124,61 @@
   Agent b{this->log, "b", 2};
   Agent c{this->log, "c", 3};
 
-  void Pass(Duration length) {
+  void AdvanceBy(Duration length) {
     for (Duration done{}; done < length; done += 100ms) {
-      this->a.Pass(100ms);
-      this->b.Pass(100ms);
-      this->c.Pass(100ms);
+      this->a.AdvanceBy(100ms);
+      this->b.AdvanceBy(100ms);
+      this->c.AdvanceBy(100ms);
     }
   }
-  int MayGo() const {
-    return this->a.MayGo() + this->b.MayGo() + this->c.MayGo();
+  int MayLeave() const {
+    return this->a.MayLeave() + this->b.MayLeave() + this->c.MayLeave();
   }
 };
 
 struct FaultRow {
   std::string name;
   Fault fault;
-  bool claims;  // the wish is for a turn; else to give one back
+  bool claims;  // the agent claims; else it releases its claim
   bool done_during;
 };
 
-const testing::Story kKeeper(
-    "an agent that takes its turn",
-    {It("goes out when those before it serve again, and asks nothing at rest",
+const testing::Story kClient(
+    "an agent in the maintenance queue",
+    {It("leaves service when those before it serve again, and does not read "
+        "when idle",
         [] {
           Pool pool;
-          pool.a.Wish(MaintenanceIntent::kEnter);
-          pool.Pass(2s);
-          pool.b.Wish(MaintenanceIntent::kEnter);
-          pool.c.Wish(MaintenanceIntent::kEnter);
-          pool.Pass(20s);
-          CPPUNIT_ASSERT(pool.a.MayGo());
-          CPPUNIT_ASSERT_EQUAL(1, pool.MayGo());
-          pool.a.Wish(MaintenanceIntent::kKeep);  // it loads
-          pool.Pass(20s);
-          CPPUNIT_ASSERT_EQUAL(0, pool.b.MayGo() + pool.c.MayGo());
-          pool.a.Wish(MaintenanceIntent::kNone);
-          pool.Pass(5s);
-          CPPUNIT_ASSERT_EQUAL(1, pool.b.MayGo() + pool.c.MayGo());
+          pool.a.SetIntent(MaintenanceIntent::kEnter);
+          pool.AdvanceBy(2s);
+          pool.b.SetIntent(MaintenanceIntent::kEnter);
+          pool.c.SetIntent(MaintenanceIntent::kEnter);
+          pool.AdvanceBy(20s);
+          CPPUNIT_ASSERT(pool.a.MayLeave());
+          CPPUNIT_ASSERT_EQUAL(1, pool.MayLeave());
+          pool.a.SetIntent(MaintenanceIntent::kKeep);  // its engine loads
+          pool.AdvanceBy(20s);
+          CPPUNIT_ASSERT_EQUAL(0, pool.b.MayLeave() + pool.c.MayLeave());
+          pool.a.SetIntent(MaintenanceIntent::kNone);
+          pool.AdvanceBy(5s);
+          CPPUNIT_ASSERT_EQUAL(1, pool.b.MayLeave() + pool.c.MayLeave());
           for (Agent* agent : {&pool.b, &pool.c}) {
-            agent->Wish(MaintenanceIntent::kNone);
+            agent->SetIntent(MaintenanceIntent::kNone);
           }
-          pool.Pass(60s);
-          CPPUNIT_ASSERT(pool.a.keeper.next_timer() == kNever);
-          CPPUNIT_ASSERT(pool.b.keeper.next_timer() == kNever);
+          pool.AdvanceBy(60s);
+          CPPUNIT_ASSERT(pool.a.client.next_timer() == kNever);
+          CPPUNIT_ASSERT(pool.b.client.next_timer() == kNever);
           CPPUNIT_ASSERT_EQUAL(std::size_t{6}, pool.log.records.size());
         }),
      ForEach<FaultRow>(
-         "reads what became of its append when the log",
-         {{"is out as it claims", Fault::kOut, true, false},
-          {"refuses its claim", Fault::kNotTaken, true, false},
+         "determines the outcome of its append by reading when the log",
+         {{"is unavailable during the claim", Fault::kUnavailable, true, false},
+          {"refuses the claim", Fault::kRefused, true, false},
           {"loses the claim's answer", Fault::kAnswerLost, true, true},
           {"loses the claim", Fault::kLost, true, false},
-          {"is out as it gives back", Fault::kOut, false, false},
-          {"refuses the release", Fault::kNotTaken, false, false},
+          {"is unavailable during the release", Fault::kUnavailable, false,
+           false},
+          {"refuses the release", Fault::kRefused, false, false},
           {"loses the release's answer", Fault::kAnswerLost, false, true},
           {"loses the release", Fault::kLost, false, false}},
          [](const FaultRow& row) { return row.name; },
@@ -184,110 +187,114 @@
            Agent a(log, "a", 1);
            Agent b(log, "b", 2);
            if (!row.claims) {
-             a.Wish(MaintenanceIntent::kEnter);
-             a.Pass(5s);
-             b.Wish(MaintenanceIntent::kEnter);
-             b.Pass(5s);
+             a.SetIntent(MaintenanceIntent::kEnter);
+             a.AdvanceBy(5s);
+             b.SetIntent(MaintenanceIntent::kEnter);
+             b.AdvanceBy(5s);
            }
            log.fault = row.fault;
-           a.Wish(row.claims ? MaintenanceIntent::kEnter
-                             : MaintenanceIntent::kNone);
-           a.Pass(3s);
-           b.Pass(3s);
-           const auto done = [&] { return row.claims ? a.MayGo() : b.MayGo(); };
+           a.SetIntent(row.claims ? MaintenanceIntent::kEnter
+                                  : MaintenanceIntent::kNone);
+           a.AdvanceBy(3s);
+           b.AdvanceBy(3s);
+           const auto done = [&] {
+             return row.claims ? a.MayLeave() : b.MayLeave();
+           };
            CPPUNIT_ASSERT_EQUAL(row.done_during, done());
            log.fault = Fault::kNone;
-           a.Pass(60s);
-           b.Pass(60s);
+           a.AdvanceBy(60s);
+           b.AdvanceBy(60s);
            CPPUNIT_ASSERT(done());
-           CPPUNIT_ASSERT(!(a.MayGo() && b.MayGo()));
+           CPPUNIT_ASSERT(!(a.MayLeave() && b.MayLeave()));
          }),
-     // Symptom: nobody of a pool is brought up to date any more. Sequence: a
-     // claim is under way when its agent stops wanting it; it reaches the log
-     // minutes later. Cause: nobody would ever release it.
-     It("closes a claim that may still arrive, before it rests",
+     // Guards against a pool whose endpoints are never updated again: an agent
+     // drops its intent while the claim's append is in progress, the append
+     // takes effect minutes later, and no process releases the claim.
+     It("releases a claim that may still arrive, before it becomes idle",
         [] {
           Log log{.fault = Fault::kLate};
           Agent a(log, "a", 1);
-          a.Wish(MaintenanceIntent::kEnter);
-          a.Pass(5s);
+          a.SetIntent(MaintenanceIntent::kEnter);
+          a.AdvanceBy(5s);
           log.fault = Fault::kNone;
-          a.Wish(MaintenanceIntent::kNone);
-          a.Pass(60s);
-          CPPUNIT_ASSERT(a.keeper.next_timer() == kNever);
+          a.SetIntent(MaintenanceIntent::kNone);
+          a.AdvanceBy(60s);
+          CPPUNIT_ASSERT(a.client.next_timer() == kNever);
           log.records.insert(log.records.end(), log.late.begin(),
                              log.late.end());
           Agent b(log, "b", 2);
-          b.Wish(MaintenanceIntent::kEnter);
-          b.Pass(10s);
-          CPPUNIT_ASSERT(b.MayGo());
+          b.SetIntent(MaintenanceIntent::kEnter);
+          b.AdvanceBy(10s);
+          CPPUNIT_ASSERT(b.MayLeave());
         }),
-     // Symptom: two endpoints are out where one may be. Sequence: an agent is
-     // stopped in its turn; its successor ends the turn, and the next one goes
-     // out; the old one wakes. Cause: it would act on what it read before.
-     It("that was paused reads again before it goes",
+     // Guards against two endpoints out of service where one is permitted: an
+     // agent process is stopped while it has permission; its successor releases
+     // the claim, and the next endpoint leaves service; the old process then
+     // continues and acts on what it read before.
+     It("reads again after a pause before it leaves service",
         [] {
           Log log;
           Agent old(log, "a", 1);
-          old.Wish(MaintenanceIntent::kEnter);
-          old.Pass(5s);
-          CPPUNIT_ASSERT(old.MayGo());
+          old.SetIntent(MaintenanceIntent::kEnter);
+          old.AdvanceBy(5s);
+          CPPUNIT_ASSERT(old.MayLeave());
           Agent successor(log, "a", 3);
-          successor.Wish(MaintenanceIntent::kNone);
-          successor.Pass(5s);
+          successor.SetIntent(MaintenanceIntent::kNone);
+          successor.AdvanceBy(5s);
           Agent b(log, "b", 2);
-          b.Wish(MaintenanceIntent::kEnter);
-          b.Pass(5s);
-          CPPUNIT_ASSERT(b.MayGo());
+          b.SetIntent(MaintenanceIntent::kEnter);
+          b.AdvanceBy(5s);
+          CPPUNIT_ASSERT(b.MayLeave());
           old.now += 20s;
-          CPPUNIT_ASSERT(!old.MayGo());
-          old.Pass(30s);
-          CPPUNIT_ASSERT(!old.MayGo());
+          CPPUNIT_ASSERT(!old.MayLeave());
+          old.AdvanceBy(30s);
+          CPPUNIT_ASSERT(!old.MayLeave());
         }),
-     // Symptom: a pool is below its floor while a host is down. Sequence: an
-     // agent dies in its turn, while its engine loads. Cause: a turn that ends
-     // by a timer gives its place to the next, and both are out.
-     It("does not go in place of one that died in its turn",
+     // Guards against a pool below its minimum while a host is down: an agent
+     // dies while its endpoint is out of service and its engine loads. If
+     // claims expired by a timer, the next endpoint would leave service as
+     // well.
+     It("does not replace an endpoint whose agent died while out of service",
         [] {
           Pool pool;
-          pool.a.Wish(MaintenanceIntent::kEnter);
-          pool.a.Pass(5s);
-          pool.b.Wish(MaintenanceIntent::kEnter);
-          pool.b.Pass(2h);
-          CPPUNIT_ASSERT(!pool.b.MayGo());
+          pool.a.SetIntent(MaintenanceIntent::kEnter);
+          pool.a.AdvanceBy(5s);
+          pool.b.SetIntent(MaintenanceIntent::kEnter);
+          pool.b.AdvanceBy(2h);
+          CPPUNIT_ASSERT(!pool.b.MayLeave());
           Agent successor(pool.log, "a", 9);
-          successor.Pass(5s);  // its engine still loads
-          pool.b.Pass(1min);
-          CPPUNIT_ASSERT(!pool.b.MayGo());
-          successor.Wish(MaintenanceIntent::kNone);
-          successor.Pass(1min);
-          pool.b.Pass(1min);
-          CPPUNIT_ASSERT(pool.b.MayGo());
+          successor.AdvanceBy(5s);  // its engine still loads
+          pool.b.AdvanceBy(1min);
+          CPPUNIT_ASSERT(!pool.b.MayLeave());
+          successor.SetIntent(MaintenanceIntent::kNone);
+          successor.AdvanceBy(1min);
+          pool.b.AdvanceBy(1min);
+          CPPUNIT_ASSERT(pool.b.MayLeave());
         }),
-     It("goes when the manifest no longer counts who is before it",
+     It("leaves service when the manifest drops the endpoint before it",
         [] {
           Pool pool;
-          pool.a.Wish(MaintenanceIntent::kEnter);
-          pool.a.Pass(5s);
-          pool.b.Wish(MaintenanceIntent::kEnter);
-          pool.b.Pass(5s);
-          CPPUNIT_ASSERT(!pool.b.MayGo());
+          pool.a.SetIntent(MaintenanceIntent::kEnter);
+          pool.a.AdvanceBy(5s);
+          pool.b.SetIntent(MaintenanceIntent::kEnter);
+          pool.b.AdvanceBy(5s);
+          CPPUNIT_ASSERT(!pool.b.MayLeave());
           pool.b.SetPool(1, {EndpointId("b"), EndpointId("c")});
-          CPPUNIT_ASSERT(pool.b.MayGo());
+          CPPUNIT_ASSERT(pool.b.MayLeave());
         }),
-     // Symptom: as above, a day later. Sequence: retention drops the dead
-     // one's claim, and an agent starts that never read it.
+     // Guards against the same fault a day later: log retention drops the dead
+     // agent's claim, and an agent that never read the claim starts.
      It("copies the claims of others before the log drops them", [] {
        Pool pool;
-       pool.a.Wish(MaintenanceIntent::kEnter);
-       pool.a.Pass(5s);
-       pool.b.Wish(MaintenanceIntent::kEnter);
-       pool.b.Pass(4h);
+       pool.a.SetIntent(MaintenanceIntent::kEnter);
+       pool.a.AdvanceBy(5s);
+       pool.b.SetIntent(MaintenanceIntent::kEnter);
+       pool.b.AdvanceBy(4h);
        pool.log.first_kept = 3;  // the two claims are gone
-       pool.c.Wish(MaintenanceIntent::kEnter);
-       pool.c.Pass(1min);
-       CPPUNIT_ASSERT(!pool.c.MayGo());
-       CPPUNIT_ASSERT(pool.c.keeper.Rank() == std::optional<std::size_t>(2));
+       pool.c.SetIntent(MaintenanceIntent::kEnter);
+       pool.c.AdvanceBy(1min);
+       CPPUNIT_ASSERT(!pool.c.MayLeave());
+       CPPUNIT_ASSERT(pool.c.client.Rank() == std::optional<std::size_t>(2));
        CPPUNIT_ASSERT(pool.log.records.size() < 20);
      })});
 
--- a/src/maintenance/types/maintenance_record.h
+++ b/src/maintenance/types/maintenance_record.h
@@ -18,22 +18,24 @@
         {MaintenanceRecordKind::kRelease, "release"},
     }};
 
-// One record of a pool's stream: an endpoint asks to be taken out of service,
-// or serves again (or no longer asks).
+// One record of a pool's log stream. A claim requests that the endpoint be
+// taken out of service. A release states that the endpoint serves again or has
+// withdrawn its request.
 struct MaintenanceRecord {
   MaintenanceRecordKind kind = MaintenanceRecordKind::kClaim;
   EndpointId endpoint;
   std::uint64_t id = 0;  // of the claim; random, never zero
-  LogOffset manifest;    // in force at the writer, for people
-  // Of a copy: where the claim's first record stands. Zero: this is the first.
+  LogOffset manifest;    // active at the writer; for people only
+  // In a copy of a claim: the offset of the claim's first record. Zero: this
+  // record is the first one.
   LogOffset since;
 
   friend bool operator==(const MaintenanceRecord&,
                          const MaintenanceRecord&) = default;
 };
 
-// Thread safe, both. Errors: kPlatformBadAnswer for any payload that is no
-// such JSON object.
+// Both functions are thread safe. Errors: kPlatformBadAnswer for any payload
+// that is not such a JSON object.
 std::string EncodeMaintenanceRecord(const MaintenanceRecord& record);
 Result<MaintenanceRecord> DecodeMaintenanceRecord(std::string_view payload);
 
