--- a/src/configuration/configuration_follower.h
+++ b/src/configuration/configuration_follower.h
@@ -27,23 +27,23 @@
   std::string payload;
 };
 // A newer manifest is in force in this process from now on.
-struct PutInForce {
+struct ActivateManifest {
   AcceptedManifest accepted;
 };
 // A peer knows a newer manifest and the log did not give it: ask that peer.
-struct AskPeer {
+struct FetchFromPeer {
   LogOffset offset;
 };
 
 using FollowerAction =
-    std::variant<ReadStream, AppendCheckpoint, PutInForce, AskPeer>;
+    std::variant<ReadStream, AppendCheckpoint, ActivateManifest, FetchFromPeer>;
 
 struct FollowerOptions {
-  std::string author;              // in checkpoints
-  Duration long_poll = 10s;        // zero: plain polls
-  Duration poll_interval = 500ms;  // after an answer without news
-  Duration retry_first = 250ms;    // after a failed read, doubled
-  Duration retry_most = 5s;        // up to this
+  std::string author;                    // in checkpoints
+  Duration long_poll = 10s;              // zero: plain polls
+  Duration poll_interval = 500ms;        // after an answer without news
+  Duration initial_retry_delay = 250ms;  // after a failed read, doubled
+  Duration max_retry_delay = 5s;         // up to this
   // The log keeps records at least this long; a copy of the current manifest
   // is made when the newest one is half as old. Zero: never.
   Duration retention = 0s;
@@ -86,7 +86,7 @@
   std::vector<FollowerAction> TakeActions();
 
   // The manifest in force in this process; null before the first.
-  const AcceptedManifest* in_force() const;
+  const AcceptedManifest* active() const;
   LogOffset offset() const;
 
   // A starting process may serve: it has a manifest, and it is the newest
--- a/src/configuration/internal/configuration_follower.cc
+++ b/src/configuration/internal/configuration_follower.cc
@@ -23,7 +23,7 @@
   this->OnTimer(now);
 }
 
-const AcceptedManifest* ConfigurationFollower::in_force() const {
+const AcceptedManifest* ConfigurationFollower::active() const {
   return this->forced ? &*this->forced : nullptr;
 }
 
@@ -68,7 +68,7 @@
 void ConfigurationFollower::OnTimer(Instant now) {
   if (now >= this->ask_at) {
     this->ask_at = kNever;
-    this->actions.emplace_back(AskPeer{.offset = this->highest_heard});
+    this->actions.emplace_back(FetchFromPeer{.offset = this->highest_heard});
   }
   if (now < this->timer) {
     return;
@@ -157,8 +157,8 @@
   this->log_failed = true;
   this->ask_at = kNever;
   this->retry_delay =
-      std::clamp(this->retry_delay * 2, this->options.retry_first,
-                 this->options.retry_most);
+      std::clamp(this->retry_delay * 2, this->options.initial_retry_delay,
+                 this->options.max_retry_delay);
   // Jitter: thousands of readers whose log comes back must not all ask in the
   // same instant.
   const double share = 0.5 + 0.5 * this->random.Unit();
@@ -168,7 +168,7 @@
   // tell it.
   if (!this->forced || this->options.follow_stream || this->alone ||
       this->offset() < this->highest_heard) {
-    this->actions.emplace_back(AskPeer{.offset = this->highest_heard});
+    this->actions.emplace_back(FetchFromPeer{.offset = this->highest_heard});
   }
 }
 
@@ -183,7 +183,7 @@
   if (this->offset() >= this->highest_heard) {
     this->ask_at = kNever;
   }
-  this->actions.emplace_back(PutInForce{.accepted = candidate});
+  this->actions.emplace_back(ActivateManifest{.accepted = candidate});
 }
 
 void ConfigurationFollower::OnPeerOffset(LogOffset offset, Instant now) {
@@ -206,13 +206,13 @@
     this->timer = this->reading ? this->timer : now;
     return;
   }
-  this->actions.emplace_back(AskPeer{.offset = offset});
+  this->actions.emplace_back(FetchFromPeer{.offset = offset});
   if (this->reading) {
     return;
   }
   // That peer has just read the log: it may be back, and a wait that grew in
   // the outage would keep an old manifest in force for seconds.
-  this->retry_delay = this->options.retry_first;
+  this->retry_delay = this->options.initial_retry_delay;
   this->timer = std::min(
       this->timer,
       now + FromSeconds(Seconds(this->retry_delay) * this->random.Unit()));
--- a/src/configuration/tests/configuration_follower_test.cc
+++ b/src/configuration/tests/configuration_follower_test.cc
@@ -33,9 +33,9 @@
 
   void Collect() {
     for (FollowerAction& action : this->follower.TakeActions()) {
-      if (auto* forced = std::get_if<PutInForce>(&action)) {
+      if (auto* forced = std::get_if<ActivateManifest>(&action)) {
         this->in_force.push_back(forced->accepted.manifest->offset.value);
-      } else if (auto* peer = std::get_if<AskPeer>(&action)) {
+      } else if (auto* peer = std::get_if<FetchFromPeer>(&action)) {
         this->asked.push_back(peer->offset.value);
       } else if (auto* copy = std::get_if<AppendCheckpoint>(&action)) {
         this->checkpoints.push_back(copy->payload);
--- a/src/configuration_client/internal/configuration_client.cc
+++ b/src/configuration_client/internal/configuration_client.cc
@@ -95,7 +95,7 @@
   }
 
   // From the event loop: whoever hears of it may call this client again.
-  void Do(const configuration::PutInForce& put) {
+  void Do(const configuration::ActivateManifest& put) {
     log::Info("manifest_in_force",
               {.fields = {{"offset", put.accepted.manifest->offset},
                           {"version", put.accepted.manifest->version}}});
@@ -104,7 +104,7 @@
     });
   }
 
-  void Do(const configuration::AskPeer&) {
+  void Do(const configuration::FetchFromPeer&) {
     this->peers.Ask([this](const PeerManifest& newest) {
       const Status taken = this->OnPeerManifest(newest.offset, newest.text);
       log::WriteLimited(
@@ -165,7 +165,7 @@
 }
 
 const configuration::AcceptedManifest* ConfigurationClient::in_force() const {
-  return this->implementation->state().in_force();
+  return this->implementation->state().active();
 }
 
 }  // namespace acacialug::configuration_client
--- a/src/configuration_client/tests/configuration_client_test.cc
+++ b/src/configuration_client/tests/configuration_client_test.cc
@@ -71,8 +71,8 @@
         ClientOptions{
             .follower = {.long_poll = 0s,
                          .poll_interval = 1ms,
-                         .retry_first = 1ms,
-                         .retry_most = 2ms,
+                         .initial_retry_delay = 1ms,
+                         .max_retry_delay = 2ms,
                          .follow_stream = follow},
             .log = std::make_unique<MemoryLog>(this->log),
             .on_in_force =
--- a/src/entry_process/internal/manifest_source.cc
+++ b/src/entry_process/internal/manifest_source.cc
@@ -69,7 +69,7 @@
   this->client.emplace(
       configuration_client::ClientOptions{
           .follower = {.author = this->options.author,
-                       .retry_most = kLongestRetry,
+                       .max_retry_delay = kLongestRetry,
                        .retention = this->options.log_retention},
           .log = std::move(this->options.log),
           .on_in_force =
--- a/src/scenario/internal/manifest_feed.h
+++ b/src/scenario/internal/manifest_feed.h
@@ -70,10 +70,10 @@
     this->log.Append(kConfigurationStream, checkpoint.payload,
                      [](const Result<LogOffset>&) {});
   }
-  void Run(const configuration::PutInForce& forced) {
+  void Run(const configuration::ActivateManifest& forced) {
     this->hooks.put_in_force(forced.accepted);
   }
-  void Run(const configuration::AskPeer& ask) {
+  void Run(const configuration::FetchFromPeer& ask) {
     this->queue.After(
         kPeerRoundTrip, [this, offset = ask.offset, later = this->hooks.later(),
                          ask_peer = this->hooks.ask_peer] {
--- a/src/scenario/internal/world_checks.cc
+++ b/src/scenario/internal/world_checks.cc
@@ -90,7 +90,7 @@
     if (!this->OutByOrder(id)) {
       this->out.erase(id);
     } else if (this->out.insert(id).second) {
-      const auto* held = agent->feed().follower().in_force();
+      const auto* held = agent->feed().follower().active();
       this->rules.OnTakenOut(EndpointId(id),
                              held == nullptr ? nullptr : held->manifest.get(),
                              this->out);
--- a/src/scenario/world.cc
+++ b/src/scenario/world.cc
@@ -207,7 +207,7 @@
 
 PeerManifest World::FindManifest(LogOffset offset) const {
   for (const auto& [name, entry] : this->entries) {
-    const auto* held = entry->feed().follower().in_force();
+    const auto* held = entry->feed().follower().active();
     if (!entry->paused() && held != nullptr &&
         held->manifest->offset >= offset) {
       return {held->manifest->offset, held->text};
@@ -229,9 +229,9 @@
   const auto [kind, name] = SplitName(process);
   const configuration::AcceptedManifest* held = nullptr;
   if (const auto entry = this->FindEntry(name)) {
-    held = entry->feed().follower().in_force();
+    held = entry->feed().follower().active();
   } else if (const auto agent = this->FindAgent(name)) {
-    held = agent->feed().follower().in_force();
+    held = agent->feed().follower().active();
   }
   return held == nullptr ? "" : held->manifest->version;
 }
