--- a/src/configuration/configuration_follower.h
+++ b/src/configuration/configuration_follower.h
@@ -14,23 +14,24 @@
 
 namespace acacialug::configuration {
 
-// ---- what a follower asks of the process around it ----
+// ---- actions that the process around the follower carries out ----
 
-// Reads the configuration stream. `wait`: the log may hold its answer that
-// long for a record to come.
+// Reads the configuration stream. `wait`: the maximum time for which the log
+// may delay its answer until a record arrives.
 struct ReadStream {
   LogOffset from;
   Duration wait{};
 };
-// Re-appends what is current, before retention drops its only copy.
+// Appends the current manifest again before retention drops its only copy.
 struct AppendCheckpoint {
   std::string payload;
 };
-// A newer manifest is in force in this process from now on.
+// A newer manifest becomes active in this process.
 struct ActivateManifest {
   AcceptedManifest accepted;
 };
-// A peer knows a newer manifest and the log did not give it: ask that peer.
+// A peer knows a newer manifest that the log did not deliver: fetch it from
+// that peer.
 struct FetchFromPeer {
   LogOffset offset;
 };
@@ -39,79 +40,80 @@
     std::variant<ReadStream, AppendCheckpoint, ActivateManifest, FetchFromPeer>;
 
 struct FollowerOptions {
-  std::string author;                    // in checkpoints
-  Duration long_poll = 10s;              // zero: plain polls
-  Duration poll_interval = 500ms;        // after an answer without news
-  Duration initial_retry_delay = 250ms;  // after a failed read, doubled
-  Duration max_retry_delay = 5s;         // up to this
-  // The log keeps records at least this long; a copy of the current manifest
-  // is made when the newest one is half as old. Zero: never.
+  std::string author;                    // named in checkpoints
+  Duration long_poll = 10s;              // zero: polls without waiting
+  Duration poll_interval = 500ms;        // after an answer without records
+  Duration initial_retry_delay = 250ms;  // doubled after each failed read
+  Duration max_retry_delay = 5s;         // limit of the doubling
+  // Minimum time for which the log keeps records. The current manifest is
+  // copied when its newest copy is half as old. Zero: never.
   Duration retention = 0s;
-  // An offset that a peer spoke of, and that the log, read to its end, has not
-  // shown after so long, is doubted: it no longer keeps a starting process
-  // from serving, and is looked for at `doubted_interval` only.
-  Duration doubted_after = 10s;
-  Duration doubted_interval = 30s;
+  // An offset reported by a peer is unconfirmed when the log, read to its end,
+  // has not shown it after this time. It then no longer keeps a starting
+  // process from serving, and the log is read for it only at
+  // `unconfirmed_interval`.
+  Duration unconfirmed_after = 10s;
+  Duration unconfirmed_interval = 30s;
   // False for agents, which get manifests from entries: thousands of readers
-  // must not poll the log. They read once at start, when poked, and while no
-  // peer speaks to them.
+  // must not poll the log. They read once at start, when a peer reports a newer
+  // offset, and while no peer has a session with them.
   bool follow_stream = true;
-  // Between its long polls then. A change has to be in force within 4 s, also
-  // at an endpoint that no entry has in its working set.
+  // Interval between long polls while no peer has a session. A change has to be
+  // active within 4 s, also at an endpoint that is in no entry's working set.
   Duration alone_interval = 2s;
 };
 
-// Follows the configuration: the log first, peers when the log is out. What
-// it put in force never goes back. No I/O; not thread safe; `now` never goes
-// backwards.
+// Follows the configuration from the log, and from peers when the log is
+// unavailable. The active manifest is never replaced by an older one. No I/O;
+// not thread safe; `now` never goes backwards.
 class ConfigurationFollower {
  public:
   ConfigurationFollower(FollowerOptions options, RandomSource& random);
 
   void Start(Instant now);
   void OnRead(const Result<cluster::ILog::Read>& read, Instant now);
-  // A peer spoke of this offset in a heartbeat or a hello.
+  // A peer reported this offset in a heartbeat or a hello.
   void OnPeerOffset(LogOffset offset, Instant now);
-  // Whether no peer has a session with this process. Of no effect on one that
-  // follows the stream.
+  // Sets whether no peer has a session with this process. Has no effect on a
+  // follower with `follow_stream`.
   void SetAlone(bool is_alone, Instant now);
   // A peer's manifest, as it was accepted at `offset`. Peers are processes of
-  // this system (authenticated when keys are on), so an accepted offset is
-  // taken as such. Errors: kManifestInvalid when the text cannot be read;
-  // kManifestStale when it is not newer than what is in force.
+  // this system (authenticated when keys are on), so the offset is trusted as
+  // accepted. Errors: kManifestInvalid when the text cannot be parsed;
+  // kManifestStale when it is not newer than the active manifest.
   Status OnPeerManifest(LogOffset offset, const std::string& text);
   void OnTimer(Instant now);
 
   Instant next_timer() const;
   std::vector<FollowerAction> TakeActions();
 
-  // The manifest in force in this process; null before the first.
+  // The active manifest of this process; null before the first one.
   const AcceptedManifest* active() const;
   LogOffset offset() const;
 
-  // A starting process may serve: it has a manifest, and it is the newest
-  // that the log (read to its end once), or else its peers, know. One that may
-  // serve goes on, whatever it hears.
+  // Whether the process may serve: it has a manifest, and the manifest is the
+  // newest one known to the log (read to its end once) or, failing that, to its
+  // peers. Once true, this stays true whatever peers report.
   bool ready() const;
 
  private:
   void Read(Duration wait);
   void ApplyRecords(const cluster::ILog::Read& read);
-  void TakeInForce(const AcceptedManifest& candidate);
+  void Activate(const AcceptedManifest& candidate);
   void ConsiderCheckpoint(Instant now);
   void ScheduleRetry(Instant now);
   void ScheduleRead(Instant now);
-  void Doubt(Instant now);
+  void UpdateUnconfirmed(Instant now);
   bool KnowsNewest() const;
 
   FollowerOptions options;
   RandomSource& random;
   std::optional<ConfigurationHistory> history;
-  std::optional<AcceptedManifest> forced;
-  LogOffset highest_heard;
-  Instant heard_at{};  // for the first time
-  bool doubted = false;
-  bool heard_from_peer = false;
+  std::optional<AcceptedManifest> active_manifest;
+  LogOffset highest_reported;
+  Instant highest_received_at{};  // when highest_reported was first reported
+  bool unconfirmed = false;
+  bool received_from_peer = false;
   bool was_ready = false;
   bool alone = false;
   bool read_to_end = false;
@@ -119,7 +121,8 @@
   bool log_failed = false;
   Duration retry_delay{};
   Instant timer = kNever;
-  Instant ask_at = kNever;  // ask the peers, if the log has not given the news
+  Instant fetch_at =
+      kNever;  // fetch from peers if the log has not delivered by then
   LogOffset copy_seen;
   Instant copy_due = kNever;
   std::vector<FollowerAction> actions;
--- a/src/configuration/configuration_history.h
+++ b/src/configuration/configuration_history.h
@@ -18,10 +18,10 @@
 
 enum class Verdict : std::uint8_t {
   kAccepted,
-  kConflict,  // it names another manifest than the current one
-  kInvalid,   // it breaks the schema, or is no record of ours
+  kConflict,  // it replaces a manifest that is not the current one
+  kInvalid,   // it violates the schema, or is not a valid record
   kCheckpoint,
-  kUnjudged,  // the start of the stream is gone and no checkpoint covers it
+  kUnjudged,  // the stream's start is gone, and no checkpoint covers it
 };
 inline constexpr EnumNames<Verdict, 5> kVerdictNames = {{
     {Verdict::kAccepted, "accepted"},
@@ -31,83 +31,88 @@
     {Verdict::kUnjudged, "unjudged"},
 }};
 
-// What became of one record; kept for the newest records only.
+// The result of judging one record; kept for the newest records only.
 struct Judgement {
   LogOffset offset;
   Verdict verdict = Verdict::kUnjudged;
   RequestId publication;
   std::string publisher;
-  std::string version;  // the manifest's own name for itself
-  LogOffset current;    // in force after this record
-  std::string detail;   // why not, for people
+  std::string version;  // as the manifest names itself
+  LogOffset current;    // current manifest after this record
+  std::string detail;   // reason for a rejection; for people only
 };
 
-// An accepted manifest with the text that it was read from (a peer or a
-// checkpoint needs the text).
+// An accepted manifest with the text that it was parsed from, which peers and
+// checkpoints need.
 struct AcceptedManifest {
   std::shared_ptr<const manifest::Manifest> manifest;
   std::string text;
 };
 
-// The configuration as a pure function of the log's prefix: every reader that
-// applied the same records has the same current manifest, whatever order or
-// time it read them in. A record is accepted only if it replaces the manifest
-// that is current at its offset, so of racing publishers one wins.
+// The configuration as a pure function of the log's prefix: all readers that
+// applied the same records have the same current manifest, regardless of the
+// order or time in which they read them. A record is accepted only if it
+// replaces the manifest that is current at its offset, so that one of several
+// concurrent publishers wins.
 //
-// A reader that starts on a stream whose beginning retention dropped cannot
-// judge a publish before it knows what was current. It holds records back
-// until a checkpoint whose author had read through an offset that this reader
-// has everything after; from there its verdicts equal everyone's.
+// A reader that starts on a stream whose beginning was dropped by retention
+// cannot judge a publish before it knows which manifest was current. It holds
+// records back until it reads a checkpoint whose author had read through an
+// offset after which this reader has all records; from there on its verdicts
+// equal those of all other readers.
 //
-// A publish by delta is judged like one of the text that it makes from what is
-// current at its offset. A digest that differs is invalid for everyone: the
-// text that is current is the same for everyone.
+// A publish by delta is judged like a publish of the text that the delta makes
+// from the manifest that is current at its offset. A publish whose digest
+// differs is invalid for all readers, because the current text is the same for
+// all of them.
 //
 // Not thread safe; no I/O.
 class ConfigurationHistory {
  public:
   static constexpr std::size_t kKeptJudgements = 256;
-  // Records held back beyond this number are dropped, oldest first: the
-  // checkpoint that covers them is then no longer usable, a later one is.
+  // Records held back beyond this number are dropped, oldest first. A
+  // checkpoint that needs the dropped records is then unusable; a later one is
+  // usable.
   static constexpr std::size_t kMaxHeldBack = 4096;
 
   // `first_kept`: the oldest offset that the log held when reading began.
   explicit ConfigurationHistory(LogOffset first_kept);
 
-  // Applies the record at `offset`. Precondition: offsets rise; an offset
-  // already applied is ignored. `payload` may be any bytes.
+  // Applies the record at `offset`. Precondition: offsets increase; an offset
+  // that was applied before is ignored. `payload` may be any bytes.
   void Apply(LogOffset offset, const std::string& payload);
 
-  // The log no longer holds what this reader was to read next: it has missed
-  // records and must find a checkpoint again. What is current stays (it never
-  // goes back); verdicts pause until a checkpoint covers the gap.
+  // To be called when the log no longer holds the record that this reader was
+  // to read next: the reader has missed records and needs a checkpoint again.
+  // The current manifest stays, as it is never replaced by an older one;
+  // verdicts pause until a checkpoint covers the gap.
   void OnTruncated(LogOffset first_kept);
 
-  // Null while none is known.
+  // Null while no manifest is known.
   const AcceptedManifest* current() const;
 
-  // True when every record up to applied_through() is judged.
-  bool judged() const { return this->based; }
+  // Whether every record up to applied_through() is judged.
+  bool judged() const { return this->has_base; }
   LogOffset applied_through() const { return this->through; }
 
-  // The newest record with a whole text (publish or checkpoint) from which the
-  // current manifest can be made, by the deltas after it; zero if none.
-  LogOffset newest_copy() const { return this->copy; }
+  // The newest record with a full text (publish or checkpoint) from which the
+  // current manifest can be made with the deltas after it; zero if none.
+  LogOffset newest_copy() const { return this->copy_offset; }
 
-  // What became of a publication, if it is among the kept judgements.
+  // The judgement of a publication, if it is among the kept ones.
   std::optional<Judgement> FindPublication(const RequestId& publication) const;
 
   const std::deque<Judgement>& judgements() const { return this->kept; }
 
-  // A checkpoint record of what is current. Precondition: current() and
-  // judged().
+  // A checkpoint record of the current manifest. Precondition: current() is not
+  // null, and judged() is true.
   ConfigurationRecord MakeCheckpoint(const std::string& author,
                                      RequestId publication) const;
 
  private:
   struct HeldBack {
     LogOffset offset;
-    std::optional<ConfigurationRecord> record;  // empty: no record of ours
+    std::optional<ConfigurationRecord> record;  // empty: not a valid record
   };
 
   void Judge(const HeldBack& held);
@@ -115,16 +120,17 @@
   void JudgeText(LogOffset offset, std::string text, Judgement& judgement);
   bool Replaces(LogOffset replaces, Judgement& judgement) const;
   void JudgeCheckpoint(const HeldBack& held);
-  static bool CanBeTrue(const HeldBack& checkpoint);
+  static bool IsPlausible(const HeldBack& checkpoint);
   bool TryBase(const HeldBack& held);
   void Keep(Judgement judgement);
   LogOffset CurrentOffset() const;
 
-  bool based;               // verdicts are everyone's
-  LogOffset complete_from;  // all records from here on were applied
+  bool has_base;            // verdicts equal those of all readers
+  LogOffset complete_from;  // all records from this offset on were applied
   LogOffset through;
-  LogOffset copy;
-  LogOffset whole;  // newest accepted text that is known not to be a delta
+  LogOffset copy_offset;
+  LogOffset
+      full_text_offset;  // newest accepted text known to be published in full
   std::optional<AcceptedManifest> accepted;
   std::deque<HeldBack> held_back;
   std::deque<Judgement> kept;
--- a/src/configuration/internal/configuration_follower.cc
+++ b/src/configuration/internal/configuration_follower.cc
@@ -8,9 +8,9 @@
 namespace acacialug::configuration {
 namespace {
 
-// For news that a peer spoke of. A change has to be in force within 4 s, also
-// with a log that does not answer.
-constexpr Duration kLogPatience = 1s;
+// Time for the log to deliver a change that a peer reported. A change has to be
+// active within 4 s, also when the log does not answer.
+constexpr Duration kLogTimeout = 1s;
 
 }  // namespace
 
@@ -24,26 +24,27 @@
 }
 
 const AcceptedManifest* ConfigurationFollower::active() const {
-  return this->forced ? &*this->forced : nullptr;
+  return this->active_manifest ? &*this->active_manifest : nullptr;
 }
 
 LogOffset ConfigurationFollower::offset() const {
-  return this->forced ? this->forced->manifest->offset : LogOffset();
+  return this->active_manifest ? this->active_manifest->manifest->offset
+                               : LogOffset();
 }
 
-// A process that starts while the log is out, and takes the first manifest
-// that it hears of, could serve under one that was replaced hours ago. It
-// waits for the log's end, or, with the log out, for the newest offset that
-// any peer has spoken of.
+// If a process that starts while the log is unavailable used the first manifest
+// that it receives, it could serve under one that was replaced hours ago. It
+// waits for the end of the log or, with the log unavailable, for the newest
+// offset that any peer has reported.
 bool ConfigurationFollower::ready() const {
   return this->was_ready || this->KnowsNewest();
 }
 
 bool ConfigurationFollower::KnowsNewest() const {
   const bool knows_newest =
-      this->read_to_end || (this->log_failed && this->heard_from_peer);
-  return this->forced && knows_newest &&
-         (this->doubted || this->offset() >= this->highest_heard);
+      this->read_to_end || (this->log_failed && this->received_from_peer);
+  return this->active_manifest && knows_newest &&
+         (this->unconfirmed || this->offset() >= this->highest_reported);
 }
 
 std::vector<FollowerAction> ConfigurationFollower::TakeActions() {
@@ -62,13 +63,13 @@
 }
 
 Instant ConfigurationFollower::next_timer() const {
-  return std::min(this->timer, this->ask_at);
+  return std::min(this->timer, this->fetch_at);
 }
 
 void ConfigurationFollower::OnTimer(Instant now) {
-  if (now >= this->ask_at) {
-    this->ask_at = kNever;
-    this->actions.emplace_back(FetchFromPeer{.offset = this->highest_heard});
+  if (now >= this->fetch_at) {
+    this->fetch_at = kNever;
+    this->actions.emplace_back(FetchFromPeer{.offset = this->highest_reported});
   }
   if (now < this->timer) {
     return;
@@ -91,31 +92,32 @@
   const LogOffset next(this->history->applied_through().value + 1);
   this->read_to_end = next >= read->next || read->records.empty();
   if (const AcceptedManifest* current = this->history->current()) {
-    this->TakeInForce(*current);
+    this->Activate(*current);
   }
   this->ConsiderCheckpoint(now);
-  this->Doubt(now);
+  this->UpdateUnconfirmed(now);
   this->was_ready = this->ready();
   this->ScheduleRead(now);
 }
 
-// The log is what counts: an offset that it does not hold was read in another
-// log, or never. Without this one word of such a process would keep every
-// process that hears it from serving, and have thousands poll the log.
-void ConfigurationFollower::Doubt(Instant now) {
-  this->doubted = this->doubted ||
-                  (this->read_to_end && this->offset() < this->highest_heard &&
-                   now - this->heard_at >= this->options.doubted_after);
-  if (this->doubted) {
-    this->ask_at = kNever;
+// The log is authoritative: an offset that it does not hold was read in another
+// log, or never. Without this rule, one wrong report would keep every process
+// that receives it from serving, and make thousands of processes poll the log.
+void ConfigurationFollower::UpdateUnconfirmed(Instant now) {
+  this->unconfirmed =
+      this->unconfirmed ||
+      (this->read_to_end && this->offset() < this->highest_reported &&
+       now - this->highest_received_at >= this->options.unconfirmed_after);
+  if (this->unconfirmed) {
+    this->fetch_at = kNever;
   }
 }
 
 void ConfigurationFollower::ScheduleRead(Instant now) {
-  const bool expects = this->offset() < this->highest_heard;
+  const bool expects = this->offset() < this->highest_reported;
   if (!this->read_to_end) {
     this->timer = now;
-  } else if (expects && !this->doubted) {
+  } else if (expects && !this->unconfirmed) {
     this->timer = now + this->options.poll_interval;
   } else if (this->options.follow_stream) {
     this->timer = this->options.long_poll.count() > 0
@@ -124,13 +126,13 @@
   } else if (this->alone) {
     this->timer = now + this->options.alone_interval;
   } else if (expects) {
-    this->timer = now + this->options.doubted_interval;
+    this->timer = now + this->options.unconfirmed_interval;
   }
 }
 
-// Entries tell an endpoint that it is to leave, and drop it. One that was
-// paused meanwhile, or whose message was lost, hears of nothing any more: it
-// would take itself for in use for ever.
+// Entries notify an endpoint that it is to leave, and then drop it. An endpoint
+// that was paused meanwhile, or whose message was lost, receives nothing more:
+// without reads of its own it would consider itself in use permanently.
 void ConfigurationFollower::SetAlone(bool is_alone, Instant now) {
   if (is_alone == this->alone || this->options.follow_stream) {
     return;
@@ -155,54 +157,55 @@
 
 void ConfigurationFollower::ScheduleRetry(Instant now) {
   this->log_failed = true;
-  this->ask_at = kNever;
+  this->fetch_at = kNever;
   this->retry_delay =
       std::clamp(this->retry_delay * 2, this->options.initial_retry_delay,
                  this->options.max_retry_delay);
-  // Jitter: thousands of readers whose log comes back must not all ask in the
-  // same instant.
+  // Jitter: thousands of readers must not all read at the same instant when the
+  // log recovers.
   const double share = 0.5 + 0.5 * this->random.Unit();
   this->timer = now + FromSeconds(Seconds(this->retry_delay) * share);
-  // A process without any manifest asks too: nobody speaks to it yet. So does
-  // one that reads without being told: with the log out, nothing else would
-  // tell it.
-  if (!this->forced || this->options.follow_stream || this->alone ||
-      this->offset() < this->highest_heard) {
-    this->actions.emplace_back(FetchFromPeer{.offset = this->highest_heard});
+  // A process without a manifest fetches too: no peer contacts it yet. So does
+  // a process that reads without being notified: while the log is unavailable,
+  // it learns of changes in no other way.
+  if (!this->active_manifest || this->options.follow_stream || this->alone ||
+      this->offset() < this->highest_reported) {
+    this->actions.emplace_back(FetchFromPeer{.offset = this->highest_reported});
   }
 }
 
-// Never back: a reader behind a truncated log, or a peer that was paused, may
-// offer an older manifest after a newer one.
-void ConfigurationFollower::TakeInForce(const AcceptedManifest& candidate) {
-  if (this->forced && candidate.manifest->offset <= this->offset()) {
+// Never activates an older manifest: a reader of a truncated log, or a peer
+// that was paused, may offer an older manifest after a newer one.
+void ConfigurationFollower::Activate(const AcceptedManifest& candidate) {
+  if (this->active_manifest && candidate.manifest->offset <= this->offset()) {
     return;
   }
-  this->forced = candidate;
-  this->highest_heard = std::max(this->highest_heard, this->offset());
-  if (this->offset() >= this->highest_heard) {
-    this->ask_at = kNever;
+  this->active_manifest = candidate;
+  this->highest_reported = std::max(this->highest_reported, this->offset());
+  if (this->offset() >= this->highest_reported) {
+    this->fetch_at = kNever;
   }
   this->actions.emplace_back(ActivateManifest{.accepted = candidate});
 }
 
 void ConfigurationFollower::OnPeerOffset(LogOffset offset, Instant now) {
-  this->heard_from_peer = true;
+  this->received_from_peer = true;
   if (offset <= this->offset()) {
     return;
   }
-  if (offset > this->highest_heard) {
-    this->highest_heard = offset;
-    this->heard_at = now;
-    this->doubted = false;
-  } else if (!this->doubted || offset == this->highest_heard) {
-    return;  // looked for already
+  if (offset > this->highest_reported) {
+    this->highest_reported = offset;
+    this->highest_received_at = now;
+    this->unconfirmed = false;
+  } else if (!this->unconfirmed || offset == this->highest_reported) {
+    return;  // a read or fetch for it is scheduled already
   }
   if (!this->log_failed) {
-    // The log has the change as a few lines; a peer's page is the whole text,
-    // and every process would fetch it from every peer, at each change. A log
-    // that fails asks the peers by itself; one that only hangs does by this.
-    this->ask_at = std::min(this->ask_at, now + kLogPatience);
+    // The log has the change as a few lines, whereas a peer's page is the full
+    // text, which every process would fetch from every peer at each change. A
+    // failed read triggers the fetch by itself; this timer covers a log that
+    // does not answer.
+    this->fetch_at = std::min(this->fetch_at, now + kLogTimeout);
     this->timer = this->reading ? this->timer : now;
     return;
   }
@@ -210,8 +213,8 @@
   if (this->reading) {
     return;
   }
-  // That peer has just read the log: it may be back, and a wait that grew in
-  // the outage would keep an old manifest in force for seconds.
+  // The peer has just read the log, which may have recovered; a delay that grew
+  // during the outage would keep an old manifest active for seconds.
   this->retry_delay = this->options.initial_retry_delay;
   this->timer = std::min(
       this->timer,
@@ -220,8 +223,8 @@
 
 Status ConfigurationFollower::OnPeerManifest(LogOffset offset,
                                              const std::string& text) {
-  this->heard_from_peer = true;
-  if (this->forced && offset <= this->offset()) {
+  this->received_from_peer = true;
+  if (this->active_manifest && offset <= this->offset()) {
     return Error(ResultCode::kManifestStale,
                  "offset " + std::to_string(offset.value));
   }
@@ -231,19 +234,20 @@
     return Error(ResultCode::kManifestInvalid, read.error().detail);
   }
   read.value().offset = offset;
-  this->TakeInForce({.manifest = std::make_shared<const manifest::Manifest>(
-                         std::move(read.value())),
-                     .text = text});
+  this->Activate({.manifest = std::make_shared<const manifest::Manifest>(
+                      std::move(read.value())),
+                  .text = text});
   this->was_ready = this->ready();
   return Success{};
 }
 
-// Retention would drop the only copy of a manifest that nobody changes for
-// months, and a host started afterwards could never learn it. When the newest
-// copy is half as old as the retention it is appended again. The age of the
-// copy found at start is not known, and hosts that are replaced before their
-// waiting time is over would never append: so the first wait is drawn without
-// memory, which no restart resets. A copy seen later resets every follower's.
+// Retention would drop the only copy of a manifest that stays unchanged for
+// months, and a host started afterwards could never learn it. The manifest is
+// appended again when its newest copy is half as old as the retention. The age
+// of the copy found at start is not known, and hosts that are replaced before
+// their wait ends would never append. The first wait is therefore drawn from a
+// memoryless (exponential) distribution, which restarts do not reset. A newer
+// copy resets the wait of every follower.
 void ConfigurationFollower::ConsiderCheckpoint(Instant now) {
   if (this->options.retention.count() == 0 || !this->history->judged() ||
       this->history->current() == nullptr || !this->read_to_end) {
@@ -265,7 +269,8 @@
   if (now < this->copy_due) {
     return;
   }
-  this->copy_due = now + this->options.retention / 8;  // if it fails
+  this->copy_due =
+      now + this->options.retention / 8;  // retry if this append fails
   this->actions.emplace_back(AppendCheckpoint{
       .payload = EncodeRecord(this->history->MakeCheckpoint(
           this->options.author, this->random.NextRequestId()))});
--- a/src/configuration/internal/configuration_history.cc
+++ b/src/configuration/internal/configuration_history.cc
@@ -34,7 +34,7 @@
 }  // namespace
 
 ConfigurationHistory::ConfigurationHistory(LogOffset first_kept)
-    : based(first_kept <= kFirstOffset), complete_from(first_kept) {}
+    : has_base(first_kept <= kFirstOffset), complete_from(first_kept) {}
 
 void ConfigurationHistory::Apply(LogOffset offset, const std::string& payload) {
   if (offset <= this->through) {
@@ -45,7 +45,7 @@
   if (Result<ConfigurationRecord> read = DecodeRecord(payload); read.ok()) {
     held.record = std::move(read.value());
   }
-  if (this->based) {
+  if (this->has_base) {
     this->Judge(held);
     return;
   }
@@ -59,12 +59,12 @@
   }
 }
 
-// Without the gap's records the current manifest may have been replaced, so a
-// publish that names it could be accepted here and refused elsewhere: two
-// processes would run different configurations for ever. Hence nothing is
+// The records in the gap may have replaced the current manifest, so a publish
+// that names it could be accepted here and rejected elsewhere, and two
+// processes would run different configurations permanently. Hence nothing is
 // judged until a checkpoint covers the gap.
 void ConfigurationHistory::OnTruncated(LogOffset first_kept) {
-  this->based = false;
+  this->has_base = false;
   this->held_back.clear();
   this->complete_from = first_kept;
 }
@@ -77,9 +77,9 @@
   return this->accepted ? this->accepted->manifest->offset : LogOffset();
 }
 
-// A checkpoint tells of what its author had read before it wrote it. One that
-// tells of anything later is no work of ours.
-bool ConfigurationHistory::CanBeTrue(const HeldBack& checkpoint) {
+// A checkpoint can describe only what its author had read before appending it.
+// A record that names a later offset was not written by this system.
+bool ConfigurationHistory::IsPlausible(const HeldBack& checkpoint) {
   const ConfigurationRecord& record = *checkpoint.record;
   return record.accepted_at.value != 0 &&
          record.accepted_at <= record.read_through &&
@@ -88,7 +88,7 @@
 
 bool ConfigurationHistory::TryBase(const HeldBack& held) {
   if (!held.record || held.record->kind != RecordKind::kCheckpoint ||
-      !CanBeTrue(held) ||
+      !IsPlausible(held) ||
       held.record->read_through.value + 1 < this->complete_from.value ||
       held.record->accepted_at < this->CurrentOffset()) {
     return false;
@@ -100,8 +100,8 @@
   }
   const LogOffset read_through = held.record->read_through;
   this->accepted = Accept(std::move(read.value()), held.record->manifest_text);
-  this->whole = held.record->accepted_at;
-  this->based = true;
+  this->full_text_offset = held.record->accepted_at;
+  this->has_base = true;
   const std::deque<HeldBack> pending = std::exchange(this->held_back, {});
   for (const HeldBack& record : pending) {
     if (record.offset > read_through) {
@@ -131,13 +131,13 @@
   if (held.record->kind == RecordKind::kPublish) {
     this->JudgeText(held.offset, held.record->manifest_text, judgement);
     if (judgement.verdict == Verdict::kAccepted) {
-      this->whole = held.offset;
-      this->copy = held.offset;
+      this->full_text_offset = held.offset;
+      this->copy_offset = held.offset;
     }
     return;
   }
-  // The base is the text that is current at this record, which is the same for
-  // every reader; so is then what becomes of it, digest or not.
+  // The base is the text that is current at this record. It is the same for all
+  // readers, and so is the result, whether or not the digest matches.
   if (!this->Replaces(held.record->replaces, judgement)) {
     return;
   }
@@ -167,7 +167,7 @@
   this->accepted = Accept(std::move(read.value()), std::move(text));
 }
 
-// Else it is a conflict.
+// Records a conflict when this returns false.
 bool ConfigurationHistory::Replaces(LogOffset replaces,
                                     Judgement& judgement) const {
   if (replaces == this->CurrentOffset()) {
@@ -184,13 +184,14 @@
   return false;
 }
 
-// A checkpoint never changes what is current: one that was overtaken by a
-// publish names an older manifest and is passed over. If all publishes since
-// were deltas, it is a copy all the same: they can be read on top of it.
+// A checkpoint never changes the current manifest: one that was overtaken by a
+// publish names an older manifest and is ignored. If all publishes since then
+// were deltas, the checkpoint still counts as a copy, because the deltas can be
+// applied to its text.
 void ConfigurationHistory::JudgeCheckpoint(const HeldBack& held) {
-  if (held.record->accepted_at >= this->whole &&
+  if (held.record->accepted_at >= this->full_text_offset &&
       held.record->accepted_at <= this->CurrentOffset()) {
-    this->copy = held.offset;
+    this->copy_offset = held.offset;
   }
   this->Keep({.offset = held.offset,
               .verdict = Verdict::kCheckpoint,
--- a/src/configuration/internal/configuration_record.cc
+++ b/src/configuration/internal/configuration_record.cc
@@ -22,7 +22,7 @@
              : LogOffset();
 }
 
-// The digest is written as a request id is: 128 bits in hexadecimal.
+// The digest has the format of a request id: 128 bits in hexadecimal.
 std::string DigestText(const TextDigest& digest) {
   return ToString(RequestId{.high = digest.high, .low = digest.low});
 }
@@ -85,8 +85,8 @@
     object["accepted_at"] = record.accepted_at.value;
     object["read_through"] = record.read_through.value;
   }
-  // Text that is not UTF-8 is replaced, not thrown about: the manifest check
-  // refuses it anyway.
+  // Invalid UTF-8 is replaced rather than raised as an exception: the manifest
+  // check rejects it anyway.
   return object.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
--- a/src/configuration/internal/text_deltas.cc
+++ b/src/configuration/internal/text_deltas.cc
@@ -12,7 +12,7 @@
 
 using Lines = std::vector<std::string_view>;
 
-// Each with its end of line; the last one may have none.
+// Each line includes its line end; the last line may have none.
 Lines SplitLines(std::string_view text) {
   Lines lines;
   while (!text.empty()) {
@@ -25,16 +25,16 @@
   return lines;
 }
 
-// Finds for each line of the target whether it goes on with what was copied
-// last, begins a copy at a line that the base has once, or is new.
+// Decides for each line of the target whether it continues the last copy,
+// begins a copy at a line that occurs once in the base, or is new.
 class DeltaMaker {
  public:
   DeltaMaker(const Lines& base_lines, const Lines& target_lines)
       : base(base_lines), target(target_lines) {
     for (std::size_t i = 0; i < this->base.size(); ++i) {
-      const auto [place, is_new] = this->unique.emplace(this->base[i], i);
+      const auto [entry, is_new] = this->unique.emplace(this->base[i], i);
       if (!is_new) {
-        place->second = std::nullopt;
+        entry->second = std::nullopt;
       }
     }
   }
@@ -62,8 +62,8 @@
     }
   }
 
-  // Lines before this one that were taken as new, and stand in the base too,
-  // belong to the copy: a table's heading is the same for all tables.
+  // Preceding lines that were treated as new, and that also precede the line in
+  // the base, belong to the copy: all tables have the same heading.
   void BeginCopy(std::size_t base_line, std::size_t line) {
     std::size_t back = 0;
     while (back < base_line && line - back > this->fresh &&
@@ -75,7 +75,8 @@
     this->fresh = line + 1;
   }
 
-  // Writes the open copy, and what is new from there up to `end`.
+  // Adds the steps for the open copy and for the new lines after it up to
+  // `end`.
   void Flush(std::size_t end) {
     if (this->copy.count > 0) {
       this->steps.emplace_back(this->copy);
@@ -93,7 +94,7 @@
   const Lines& target;
   std::unordered_map<std::string_view, std::optional<std::size_t>> unique;
   std::vector<DeltaStep> steps;
-  CopyLines copy;         // open, not yet among the steps
+  CopyLines copy;         // the open copy, not yet added to the steps
   std::size_t fresh = 0;  // first line of the target after `copy`
 };
 
@@ -128,7 +129,7 @@
     } else {
       piece = std::get<std::string>(step);
     }
-    // Before it is copied: few steps could name the same lines over and over.
+    // Checked before copying: a few steps could repeat the same lines.
     if (piece.size() > kLongestDeltaText - text.size()) {
       return Error(ResultCode::kManifestInvalid, "delta: text too long");
     }
--- a/src/configuration/tests/configuration_follower_test.cc
+++ b/src/configuration/tests/configuration_follower_test.cc
@@ -14,18 +14,18 @@
 using testing_texts::Publish;
 
 constexpr Instant kStart{1s};
-constexpr LogOffset kNeverComes{1'000'000};
+constexpr LogOffset kMissingOffset{1'000'000};
 
-// A follower with a log that answers when the test says so.
-struct Bench {
+// A follower with a log whose answers the test controls.
+struct Fixture {
   RandomSource random{1};
   ConfigurationFollower follower;
-  std::vector<std::uint64_t> in_force;
-  std::vector<std::uint64_t> asked;
+  std::vector<std::uint64_t> activated;
+  std::vector<std::uint64_t> fetched;
   std::vector<std::string> checkpoints;
   std::vector<ReadStream> reads;
 
-  explicit Bench(FollowerOptions options = {.author = "entry-1"})
+  explicit Fixture(FollowerOptions options = {.author = "entry-1"})
       : follower(std::move(options), this->random) {
     this->follower.Start(kStart);
     this->Collect();
@@ -33,10 +33,10 @@
 
   void Collect() {
     for (FollowerAction& action : this->follower.TakeActions()) {
-      if (auto* forced = std::get_if<ActivateManifest>(&action)) {
-        this->in_force.push_back(forced->accepted.manifest->offset.value);
+      if (auto* activate = std::get_if<ActivateManifest>(&action)) {
+        this->activated.push_back(activate->accepted.manifest->offset.value);
       } else if (auto* peer = std::get_if<FetchFromPeer>(&action)) {
-        this->asked.push_back(peer->offset.value);
+        this->fetched.push_back(peer->offset.value);
       } else if (auto* copy = std::get_if<AppendCheckpoint>(&action)) {
         this->checkpoints.push_back(copy->payload);
       } else {
@@ -65,255 +65,262 @@
 
 const testing::Story kFollower(
     "a configuration follower",
-    {It("puts what the log accepted in force, and only then serves",
+    {It("activates what the log accepted, and is ready only then",
         [] {
-          Bench bench;
-          CPPUNIT_ASSERT(!bench.follower.ready());
-          bench.Answer({{LogOffset(1), Publish("a", 0)}}, 3);
-          CPPUNIT_ASSERT(!bench.follower.ready());  // offset 2 is still unread
-          bench.Answer({{LogOffset(2), Publish("b", 1)}}, 3);
-          CPPUNIT_ASSERT(bench.follower.ready());
-          CPPUNIT_ASSERT((std::vector<std::uint64_t>{1, 2}) == bench.in_force);
+          Fixture fixture;
+          CPPUNIT_ASSERT(!fixture.follower.ready());
+          fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 3);
+          CPPUNIT_ASSERT(
+              !fixture.follower.ready());  // offset 2 is not read yet
+          fixture.Answer({{LogOffset(2), Publish("b", 1)}}, 3);
+          CPPUNIT_ASSERT(fixture.follower.ready());
+          CPPUNIT_ASSERT((std::vector<std::uint64_t>{1, 2}) ==
+                         fixture.activated);
         }),
-     // Symptom: a change reached some agents 4 s after an outage of the log.
-     // Sequence: the log went out just after the append; no entry spoke to
-     // them. Cause: only who had heard of a newer offset asked the peers.
-     It("asks peers at each failed read while it follows the stream",
+     // Guards against agents that activate a change only 4 s after an outage of
+     // the log: the log fails just after the append, and no entry has a session
+     // with the agents. Only processes with a report of a newer offset fetched
+     // from peers.
+     It("fetches from peers at each failed read while it follows the stream",
         [] {
-          Bench bench;
-          bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-          bench.Fail();
-          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, bench.asked.size());
+          Fixture fixture;
+          fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+          fixture.Fail();
+          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.fetched.size());
         }),
-     // Each small change made every agent fetch the whole configuration from
-     // every peer, beside the few lines of the change that it read from the
-     // log: it asked its peers whenever an entry spoke of news, not only with
-     // the log out.
-     It("asks no peer for news that the log gives",
+     // Guards against agents that fetch the full configuration from every peer
+     // at each small change, in addition to the few lines read from the log:
+     // they fetched whenever an entry reported a newer offset, not only while
+     // the log was unavailable.
+     It("does not fetch from peers what the log delivers",
         [] {
-          Bench bench({.author = "agent-1", .follow_stream = false});
-          bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-          bench.follower.OnPeerOffset(LogOffset(2), kStart);
-          bench.follower.OnTimer(kStart);
-          bench.Answer({{LogOffset(2), Publish("b", 1)}}, 3, kStart + 100ms);
-          while (bench.follower.next_timer() < kStart + 10s) {
-            bench.follower.OnTimer(bench.follower.next_timer());
+          Fixture fixture({.author = "agent-1", .follow_stream = false});
+          fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+          fixture.follower.OnPeerOffset(LogOffset(2), kStart);
+          fixture.follower.OnTimer(kStart);
+          fixture.Answer({{LogOffset(2), Publish("b", 1)}}, 3, kStart + 100ms);
+          while (fixture.follower.next_timer() < kStart + 10s) {
+            fixture.follower.OnTimer(fixture.follower.next_timer());
           }
-          bench.Collect();
-          CPPUNIT_ASSERT((std::vector<std::uint64_t>{1, 2}) == bench.in_force);
-          CPPUNIT_ASSERT(bench.asked.empty());
+          fixture.Collect();
+          CPPUNIT_ASSERT((std::vector<std::uint64_t>{1, 2}) ==
+                         fixture.activated);
+          CPPUNIT_ASSERT(fixture.fetched.empty());
         }),
-     It("asks the peers when the log has not given the news within a second",
+     It("fetches from peers when the log has not delivered within a second",
         [] {
-          Bench bench({.author = "agent-1", .follow_stream = false});
-          bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-          bench.follower.OnPeerOffset(LogOffset(2), kStart);
-          bench.follower.OnTimer(kStart);  // and the log does not answer
-          CPPUNIT_ASSERT(bench.follower.next_timer() <= kStart + 1s);
-          bench.follower.OnTimer(kStart + 1s);
-          bench.Collect();
-          CPPUNIT_ASSERT((std::vector<std::uint64_t>{2}) == bench.asked);
-          CPPUNIT_ASSERT(bench.follower.next_timer() == kNever);
+          Fixture fixture({.author = "agent-1", .follow_stream = false});
+          fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+          fixture.follower.OnPeerOffset(LogOffset(2), kStart);
+          fixture.follower.OnTimer(kStart);  // the log does not answer
+          CPPUNIT_ASSERT(fixture.follower.next_timer() <= kStart + 1s);
+          fixture.follower.OnTimer(kStart + 1s);
+          fixture.Collect();
+          CPPUNIT_ASSERT((std::vector<std::uint64_t>{2}) == fixture.fetched);
+          CPPUNIT_ASSERT(fixture.follower.next_timer() == kNever);
         }),
-     It("asks the peers at once when the log fails",
+     It("fetches from peers at once when the log fails",
         [] {
-          Bench bench({.author = "agent-1", .follow_stream = false});
-          bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-          bench.follower.OnPeerOffset(LogOffset(2), kStart);
-          bench.follower.OnTimer(kStart);
-          bench.Fail();
-          CPPUNIT_ASSERT((std::vector<std::uint64_t>{2}) == bench.asked);
-          bench.follower.OnPeerOffset(LogOffset(3), kStart);
-          bench.Collect();
-          CPPUNIT_ASSERT((std::vector<std::uint64_t>{2, 3}) == bench.asked);
+          Fixture fixture({.author = "agent-1", .follow_stream = false});
+          fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+          fixture.follower.OnPeerOffset(LogOffset(2), kStart);
+          fixture.follower.OnTimer(kStart);
+          fixture.Fail();
+          CPPUNIT_ASSERT((std::vector<std::uint64_t>{2}) == fixture.fetched);
+          fixture.follower.OnPeerOffset(LogOffset(3), kStart);
+          fixture.Collect();
+          CPPUNIT_ASSERT((std::vector<std::uint64_t>{2, 3}) == fixture.fetched);
         }),
-     // Symptom: a change took 5 s after a short outage of the log. Sequence:
-     // reads failed until the wait between them was seconds long; the log came
-     // back; an entry told of the change. Cause: the wait was slept to its end.
-     It("reads soon when a peer tells it of news after an outage",
+     // Guards against a change that takes 5 s after a short outage of the log:
+     // reads fail until the delay between them is seconds long, the log
+     // recovers, an entry reports the change, and the delay still runs to its
+     // end.
+     It("reads soon when a peer reports a newer offset after an outage",
         [] {
-          Bench bench({.author = "agent-1", .follow_stream = false});
+          Fixture fixture({.author = "agent-1", .follow_stream = false});
           Instant now = kStart;
           for (int attempt = 0; attempt < 8; ++attempt) {
-            bench.Fail(now);
-            now = bench.follower.next_timer();
-            bench.follower.OnTimer(now);
+            fixture.Fail(now);
+            now = fixture.follower.next_timer();
+            fixture.follower.OnTimer(now);
           }
-          bench.Fail(now);
-          bench.follower.OnPeerOffset(LogOffset(9), now);
-          CPPUNIT_ASSERT(bench.follower.next_timer() <= now + 250ms);
+          fixture.Fail(now);
+          fixture.follower.OnPeerOffset(LogOffset(9), now);
+          CPPUNIT_ASSERT(fixture.follower.next_timer() <= now + 250ms);
         }),
-     Section("that starts while the log is out",
-             {// Symptom: a host started in a log outage served under a manifest
-              // replaced the day before.
-              // Sequence: the first peer it met had itself been cut off.
-              // Cause: the first manifest heard of was taken for the newest.
-              It("waits for the newest offset that any peer spoke of",
+     Section("that starts while the log is unavailable",
+             {// Guards against a host that starts during a log outage and
+              // serves under a manifest replaced the day before: the first peer
+              // that it reaches was itself cut off, and the first manifest
+              // received is taken for the newest.
+              It("waits for the newest offset that any peer reported",
                  [] {
-                   Bench bench;
-                   bench.Fail();
-                   bench.follower.OnPeerOffset(LogOffset(9), kStart);
+                   Fixture fixture;
+                   fixture.Fail();
+                   fixture.follower.OnPeerOffset(LogOffset(9), kStart);
                    CPPUNIT_ASSERT(
-                       bench.follower
+                       fixture.follower
                            .OnPeerManifest(LogOffset(5), ManifestText("a", 0))
                            .ok());
-                   CPPUNIT_ASSERT(!bench.follower.ready());
+                   CPPUNIT_ASSERT(!fixture.follower.ready());
                    CPPUNIT_ASSERT(
-                       bench.follower
+                       fixture.follower
                            .OnPeerManifest(LogOffset(9), ManifestText("b", 5))
                            .ok());
-                   CPPUNIT_ASSERT(bench.follower.ready());
+                   CPPUNIT_ASSERT(fixture.follower.ready());
                  }),
-              It("keeps trying, ever more slowly, and asks peers meanwhile",
+              It("retries with growing delays and fetches from peers meanwhile",
                  [] {
-                   Bench bench;
-                   bench.follower.OnPeerOffset(LogOffset(9), kStart);
+                   Fixture fixture;
+                   fixture.follower.OnPeerOffset(LogOffset(9), kStart);
                    Instant now = kStart;
                    for (int attempt = 0; attempt < 8; ++attempt) {
-                     bench.Fail(now);
-                     now = bench.follower.next_timer();
+                     fixture.Fail(now);
+                     now = fixture.follower.next_timer();
                      CPPUNIT_ASSERT(now != kNever);
-                     bench.follower.OnTimer(now);
+                     fixture.follower.OnTimer(now);
                    }
-                   bench.Collect();
-                   CPPUNIT_ASSERT_EQUAL(std::size_t{9}, bench.reads.size());
-                   CPPUNIT_ASSERT(bench.asked.size() >= 8);
+                   fixture.Collect();
+                   CPPUNIT_ASSERT_EQUAL(std::size_t{9}, fixture.reads.size());
+                   CPPUNIT_ASSERT(fixture.fetched.size() >= 8);
                    CPPUNIT_ASSERT(now - kStart > 10s);
                  })}),
      Section(
          "that has a newer manifest from a peer",
-         {// Symptom: a configuration went back for some seconds.
-          // Sequence: a peer's newer manifest was taken first; then the log's
-          // answer, sent before it, came.
-          // Cause: answers were put in force in the order of their arrival.
-          It("does not go back to the log's older one",
+         {// Guards against a configuration that reverts for some seconds: a
+          // peer's newer manifest is activated first, then the log's earlier
+          // answer arrives, and answers are activated in the order of arrival.
+          It("does not return to the log's older one",
              [] {
-               Bench bench;
+               Fixture fixture;
                CPPUNIT_ASSERT(
-                   bench.follower
+                   fixture.follower
                        .OnPeerManifest(LogOffset(2), ManifestText("b", 1))
                        .ok());
-               bench.Collect();
-               bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+               fixture.Collect();
+               fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
                CPPUNIT_ASSERT((std::vector<std::uint64_t>{2}) ==
-                              bench.in_force);
+                              fixture.activated);
                CPPUNIT_ASSERT_EQUAL(std::uint64_t{2},
-                                    bench.follower.offset().value);
+                                    fixture.follower.offset().value);
              }),
-          It("refuses a peer's older or unreadable one by number",
+          It("rejects a peer's older or unreadable one with its result code",
              [] {
-               Bench bench;
-               bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+               Fixture fixture;
+               fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
                CPPUNIT_ASSERT(
                    ResultCode::kManifestStale ==
-                   bench.follower
+                   fixture.follower
                        .OnPeerManifest(LogOffset(1), ManifestText("a", 0))
                        .error()
                        .result_code());
                CPPUNIT_ASSERT(
                    ResultCode::kManifestInvalid ==
-                   bench.follower.OnPeerManifest(LogOffset(2), "nonsense")
+                   fixture.follower.OnPeerManifest(LogOffset(2), "nonsense")
                        .error()
                        .result_code());
              })}),
-     // Symptom: every entry stopped taking manifests, and hosts that were
-     // replaced never served. Sequence: one process spoke of an offset that
-     // the log never held: it had read another log. Cause: what a peer says was
-     // believed against the log, and for ever.
-     Section("that hears of an offset which never comes",
-             {It("goes on serving, and puts in force what the log accepts",
-                 [] {
-                   Bench bench;
-                   bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-                   bench.follower.OnPeerOffset(kNeverComes, kStart);
-                   CPPUNIT_ASSERT(bench.follower.ready());
-                   bench.Answer({{LogOffset(2), Publish("b", 1)}}, 3);
-                   CPPUNIT_ASSERT((std::vector<std::uint64_t>{1, 2}) ==
-                                  bench.in_force);
-                   CPPUNIT_ASSERT(bench.follower.ready());
-                 }),
-              It("serves for the first time when the log has had its time",
-                 [] {
-                   Bench bench;
-                   bench.follower.OnPeerOffset(kNeverComes, kStart);
-                   bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-                   CPPUNIT_ASSERT(!bench.follower.ready());
-                   bench.Answer({}, 2, kStart + 11s);
-                   CPPUNIT_ASSERT(bench.follower.ready());
-                 }),
-              It("does not hammer the log for it",
-                 [] {
-                   constexpr std::size_t kMostReads = 50;
-                   Bench bench({.author = "agent-1", .follow_stream = false});
-                   bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-                   Instant now = kStart;
-                   while (now < kStart + 10min) {
-                     bench.follower.OnPeerOffset(kNeverComes, now);
-                     bench.follower.OnTimer(now);
-                     const std::size_t before = bench.reads.size();
-                     bench.Collect();
-                     if (bench.reads.size() > before) {
-                       bench.Answer({}, 2, now);
-                     }
-                     now += 1s;
-                   }
-                   CPPUNIT_ASSERT(bench.reads.size() <= kMostReads);
-                 }),
-              It("reads at once when it hears of another",
-                 [] {
-                   Bench bench({.author = "agent-1", .follow_stream = false});
-                   bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-                   bench.follower.OnPeerOffset(kNeverComes, kStart);
-                   bench.follower.OnTimer(kStart);
-                   bench.Collect();
-                   bench.Answer({}, 2, kStart + 11s);
-                   bench.follower.OnPeerOffset(LogOffset(2), kStart + 12s);
-                   CPPUNIT_ASSERT(bench.follower.next_timer() == kStart + 12s);
-                 })}),
-     // Symptom: an endpoint that was to leave never knew, and did not drain.
-     // Sequence: its agent was paused; the entries told it, dropped it, and
-     // told it nothing more. Cause: an agent hears of manifests from entries
-     // only.
-     // It may not poll ever more rarely: two endpoints of 120 were in no
-     // entry's working set, and a change has to be in force within 4 s.
-     It("reads the log itself by long polls while no peer speaks to it",
+     // Guards against entries that stop accepting manifests, and replaced hosts
+     // that never serve: one process reports an offset that the log never held,
+     // because it read another log, and a peer's report is trusted over the log
+     // permanently.
+     Section(
+         "that receives a report of an offset that never arrives",
+         {It("stays ready and activates what the log accepts",
+             [] {
+               Fixture fixture;
+               fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+               fixture.follower.OnPeerOffset(kMissingOffset, kStart);
+               CPPUNIT_ASSERT(fixture.follower.ready());
+               fixture.Answer({{LogOffset(2), Publish("b", 1)}}, 3);
+               CPPUNIT_ASSERT((std::vector<std::uint64_t>{1, 2}) ==
+                              fixture.activated);
+               CPPUNIT_ASSERT(fixture.follower.ready());
+             }),
+          It("becomes ready when the log has not shown the offset in time",
+             [] {
+               Fixture fixture;
+               fixture.follower.OnPeerOffset(kMissingOffset, kStart);
+               fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+               CPPUNIT_ASSERT(!fixture.follower.ready());
+               fixture.Answer({}, 2, kStart + 11s);
+               CPPUNIT_ASSERT(fixture.follower.ready());
+             }),
+          It("does not poll the log for it at a high rate",
+             [] {
+               constexpr std::size_t kMaxReads = 50;
+               Fixture fixture({.author = "agent-1", .follow_stream = false});
+               fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+               Instant now = kStart;
+               while (now < kStart + 10min) {
+                 fixture.follower.OnPeerOffset(kMissingOffset, now);
+                 fixture.follower.OnTimer(now);
+                 const std::size_t before = fixture.reads.size();
+                 fixture.Collect();
+                 if (fixture.reads.size() > before) {
+                   fixture.Answer({}, 2, now);
+                 }
+                 now += 1s;
+               }
+               CPPUNIT_ASSERT(fixture.reads.size() <= kMaxReads);
+             }),
+          It("reads at once when another offset is reported",
+             [] {
+               Fixture fixture({.author = "agent-1", .follow_stream = false});
+               fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+               fixture.follower.OnPeerOffset(kMissingOffset, kStart);
+               fixture.follower.OnTimer(kStart);
+               fixture.Collect();
+               fixture.Answer({}, 2, kStart + 11s);
+               fixture.follower.OnPeerOffset(LogOffset(2), kStart + 12s);
+               CPPUNIT_ASSERT(fixture.follower.next_timer() == kStart + 12s);
+             })}),
+     // Guards against an endpoint that is to leave but does not drain: its
+     // agent
+     // is paused while the entries notify it, drop it and send nothing more,
+     // and
+     // an agent learns of manifests from entries only.
+     // The poll interval may not grow: two endpoints of 120 were in no entry's
+     // working set, and a change has to be active within 4 s.
+     It("reads the log by long polls while no peer has a session with it",
         [] {
-          // Each read is held for 10 s, and 2 s lie between them.
-          constexpr std::size_t kMostReads = 51;
-          Bench bench({.author = "agent-1", .follow_stream = false});
-          bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-          CPPUNIT_ASSERT(bench.follower.next_timer() == kNever);
-          bench.follower.SetAlone(true, kStart);
-          CPPUNIT_ASSERT(bench.follower.next_timer() == kStart + 2s);
-          while (bench.follower.next_timer() < kStart + 10min) {
-            const Instant now = bench.follower.next_timer();
-            bench.follower.OnTimer(now);
-            bench.Collect();
-            const Instant answered = now + bench.reads.back().wait;
-            bench.Answer({}, 2, answered);
-            CPPUNIT_ASSERT(bench.follower.next_timer() == answered + 2s);
+          // Each read takes 10 s, with 2 s between reads.
+          constexpr std::size_t kMaxReads = 51;
+          Fixture fixture({.author = "agent-1", .follow_stream = false});
+          fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+          CPPUNIT_ASSERT(fixture.follower.next_timer() == kNever);
+          fixture.follower.SetAlone(true, kStart);
+          CPPUNIT_ASSERT(fixture.follower.next_timer() == kStart + 2s);
+          while (fixture.follower.next_timer() < kStart + 10min) {
+            const Instant now = fixture.follower.next_timer();
+            fixture.follower.OnTimer(now);
+            fixture.Collect();
+            const Instant answered = now + fixture.reads.back().wait;
+            fixture.Answer({}, 2, answered);
+            CPPUNIT_ASSERT(fixture.follower.next_timer() == answered + 2s);
           }
-          CPPUNIT_ASSERT(bench.reads.size() <= kMostReads);
-          const Instant now = bench.follower.next_timer();
-          bench.follower.SetAlone(false, now);
-          bench.follower.OnTimer(now);
-          bench.Answer({}, 2, now);
-          CPPUNIT_ASSERT(bench.follower.next_timer() == kNever);
+          CPPUNIT_ASSERT(fixture.reads.size() <= kMaxReads);
+          const Instant now = fixture.follower.next_timer();
+          fixture.follower.SetAlone(false, now);
+          fixture.follower.OnTimer(now);
+          fixture.Answer({}, 2, now);
+          CPPUNIT_ASSERT(fixture.follower.next_timer() == kNever);
         }),
-     // Symptom: months after the last change, new hosts found no manifest.
-     // Sequence: retention dropped the only record that held it.
-     // Cause: nobody appended it again.
+     // Guards against new hosts that find no manifest months after the last
+     // change: retention drops the only record that holds the manifest, and no
+     // process appends it again.
      It("appends a copy before retention drops the only one", [] {
-       Bench bench({.author = "entry-1", .retention = 100s});
-       bench.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
-       CPPUNIT_ASSERT(bench.checkpoints.empty());
-       bench.Answer({}, 2, kStart + 51s);
-       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, bench.checkpoints.size());
-       bench.Answer({{LogOffset(2), bench.checkpoints[0]}}, 3, kStart + 52s);
-       // The copy alone is enough for a host that starts later.
-       Bench late;
-       late.Answer({{LogOffset(2), bench.checkpoints[0]}}, 3, kStart, 2);
-       CPPUNIT_ASSERT((std::vector<std::uint64_t>{1}) == late.in_force);
+       Fixture fixture({.author = "entry-1", .retention = 100s});
+       fixture.Answer({{LogOffset(1), Publish("a", 0)}}, 2);
+       CPPUNIT_ASSERT(fixture.checkpoints.empty());
+       fixture.Answer({}, 2, kStart + 51s);
+       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.checkpoints.size());
+       fixture.Answer({{LogOffset(2), fixture.checkpoints[0]}}, 3,
+                      kStart + 52s);
+       // The copy alone suffices for a host that starts later.
+       Fixture late;
+       late.Answer({{LogOffset(2), fixture.checkpoints[0]}}, 3, kStart, 2);
+       CPPUNIT_ASSERT((std::vector<std::uint64_t>{1}) == late.activated);
      })});
 
 }  // namespace
--- a/src/configuration/tests/configuration_history_test.cc
+++ b/src/configuration/tests/configuration_history_test.cc
@@ -23,8 +23,8 @@
 }
 
 // A stream with two races, a bad record and a checkpoint overtaken by a
-// publish: 1 accepted, 2 conflicts, 3 accepted, 4 no record, 5 accepted, 6 a
-// checkpoint of 3 whose author had read through 4, 7 a good checkpoint.
+// publish: 1 accepted, 2 conflict, 3 accepted, 4 invalid, 5 accepted, 6 a
+// checkpoint of 3 whose author had read through 4, 7 a usable checkpoint.
 std::vector<std::string> Stream() {
   return {Publish("a", 0, 1),      Publish("b", 0, 2), Publish("c", 1, 3),
           "not a record",          Publish("d", 3, 5), Checkpoint("c", 1, 3, 4),
@@ -87,14 +87,14 @@
            CPPUNIT_ASSERT(row.verdict == judgement.verdict);
            CPPUNIT_ASSERT_EQUAL(row.current, judgement.current.value);
          }),
-     // Symptom: hosts started after a certain hour ran a configuration that no
-     // other process had, and took no later one. Sequence: the stream had lost
-     // its beginning; a record posed as a checkpoint of a manifest that was yet
-     // to come. Cause: a checkpoint's word was taken though it cannot be true.
+     // Guards against newly started hosts that run a configuration which no
+     // other process has, and that accept no later one: the stream has lost its
+     // beginning, and a record with a checkpoint of a future manifest is used
+     // although it cannot be true.
      ForEach<FalseCheckpoint>(
-         "does not begin with a checkpoint that speaks of",
-         {{"records behind it", 6, 100},
-          {"a manifest behind it", 100, 100},
+         "does not start from a checkpoint that names",
+         {{"records after it", 6, 100},
+          {"a manifest after it", 100, 100},
           {"a manifest that its author had not read", 6, 5},
           {"no manifest", 0, 5}},
          [](const FalseCheckpoint& row) { return row.name; },
@@ -106,16 +106,15 @@
            history.Apply(LogOffset(7), Checkpoint("d", 3, 5, 6));
            CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, CurrentOffset(history));
          }),
-     // Symptom: after retention dropped the start, a new host ran an older
-     // configuration than its neighbours.
-     // Sequence: a checkpoint of 3 stands behind the publish that replaced it;
-     // a reader that starts later takes it as current.
-     // Cause: a checkpoint speaks of the prefix its author had read, not of
-     // the place where it stands.
+     // Guards against a new host with an older configuration than its peers
+     // after retention dropped the stream's start: a checkpoint of 3 follows
+     // the publish that replaced 3, and a reader that starts later uses it as
+     // current. A checkpoint describes the prefix that its author had read, not
+     // the state at its own offset.
      ForEach<StartRow>(
-         "read from a truncated stream agrees with everyone:",
+         "read from a truncated stream agrees with all readers:",
          {{2, true, 5, "the checkpoint's author read through 4"},
-          {5, true, 5, "all after offset 4 is here"},
+          {5, true, 5, "all records after offset 4 are present"},
           {6, true, 5, "only the second checkpoint covers offset 5"},
           {7, true, 5, "the second checkpoint was made at 6"}},
          [](const StartRow& row) {
@@ -132,7 +131,7 @@
                    ConfigurationHistory history = ReadFrom(1);
                    history.OnTruncated(LogOffset(20));
                    // Offset 15 may have replaced 5: accepting this one here
-                   // would part this reader from the others.
+                   // would make this reader differ from the others.
                    history.Apply(LogOffset(20), Publish("e", 5));
                    CPPUNIT_ASSERT(!history.judged());
                    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5},
@@ -144,7 +143,7 @@
                    CPPUNIT_ASSERT_EQUAL(std::uint64_t{15},
                                         CurrentOffset(history));
                  }),
-              It("never goes back to an older manifest",
+              It("never returns to an older manifest",
                  [] {
                    ConfigurationHistory history = ReadFrom(1);
                    history.OnTruncated(LogOffset(20));
@@ -152,26 +151,26 @@
                    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5},
                                         CurrentOffset(history));
                  })}),
-     // Symptom: two processes ran different texts under one offset. Sequence:
-     // a pipeline made its delta from a text that was never current, or from
-     // one that another publish had replaced. Cause: the delta was applied to
-     // whatever the reader had.
+     // Guards against two processes with different texts for one offset: a
+     // pipeline makes its delta from a text that was never current, or that
+     // another publish has replaced, and each reader applies the delta to the
+     // text that it has.
      ForEach<DeltaRow>(
          "judges a publish by delta like its text:",
-         {{"made from what is current",
+         {{"made from the current text",
            PublishDelta(ManifestText("d", 3), "e", 5), Verdict::kAccepted, 8},
           {"made from a replaced text",
            PublishDelta(ManifestText("c", 1), "e", 3), Verdict::kConflict, 5},
-          {"made from another text, naming the current",
+          {"made from another text, but naming the current one",
            PublishDelta("# x\n" + ManifestText("d", 3), "e", 5),
            Verdict::kInvalid, 5},
-          {"its text names another one than the record",
+          {"its text replaces another manifest than the record",
            EncodeRecord({.kind = RecordKind::kPublishDelta,
                          .replaces = LogOffset(5),
                          .delta = MakeDelta(ManifestText("d", 3),
                                             ManifestText("e", 3))}),
            Verdict::kConflict, 5},
-          {"its text is no manifest",
+          {"its text is not a manifest",
            EncodeRecord({.kind = RecordKind::kPublishDelta,
                          .replaces = LogOffset(5),
                          .delta = MakeDelta(ManifestText("d", 3), "x")}),
@@ -183,10 +182,10 @@
            CPPUNIT_ASSERT(row.verdict == history.judgements().back().verdict);
            CPPUNIT_ASSERT_EQUAL(row.current, CurrentOffset(history));
          }),
-     // Symptom: a host that started late never learned the configuration.
-     // Sequence: whole texts were dropped by retention, deltas stood after
-     // them. Cause: a delta was taken for a copy of its manifest.
-     It("reads deltas on top of a checkpoint that they overtook",
+     // Guards against a host that starts late and never learns the
+     // configuration: retention drops the full texts while deltas remain, and a
+     // delta is treated as a copy of its manifest.
+     It("applies deltas to a checkpoint that they precede in the log",
         [] {
           ConfigurationHistory all = ReadFrom(1);
           ConfigurationHistory late(LogOffset(8));
@@ -202,7 +201,7 @@
           }
           CPPUNIT_ASSERT(all.newest_copy() == LogOffset(9));
         }),
-     It("applies a record once, however often it is read", [] {
+     It("applies a record once when it is read repeatedly", [] {
        ConfigurationHistory history = ReadFrom(1);
        history.Apply(LogOffset(5), Publish("d", 3, 5));
        CPPUNIT_ASSERT_EQUAL(std::size_t{7}, history.judgements().size());
--- a/src/configuration/tests/manifest_texts.h
+++ b/src/configuration/tests/manifest_texts.h
@@ -9,7 +9,7 @@
 
 namespace acacialug::configuration::testing_texts {
 
-// The smallest sound manifest, which replaces the one at `replaces`.
+// The smallest valid manifest, which replaces the one at `replaces`.
 inline std::string ManifestText(const std::string& version,
                                 std::uint64_t replaces) {
   return "version = \"" + version +
@@ -28,7 +28,7 @@
                        .publication = {.high = 1, .low = publication}});
 }
 
-// The same manifest, as what differs from `base`.
+// A publish of the same manifest by its delta from `base`.
 inline std::string PublishDelta(const std::string& base,
                                 const std::string& version,
                                 std::uint64_t replaces) {
--- a/src/configuration/tests/text_deltas_test.cc
+++ b/src/configuration/tests/text_deltas_test.cc
@@ -24,7 +24,7 @@
 
 constexpr const char* kBase = "a\nb\nc\n";
 
-// As a manifest is: tables whose headings are alike.
+// Like a manifest: tables with equal headings.
 std::string Tables(RandomSource& random, int count) {
   std::string text = "version = \"1\"\n";
   for (int i = 0; i < count; ++i) {
@@ -37,19 +37,19 @@
 const testing::Story kDeltas(
     "a delta between texts",
     {ForEach<Change>(
-         "gives back the text exactly when",
+         "reproduces the text exactly when",
          {{"nothing changed", kBase, kBase},
-          {"there was none", "", kBase},
-          {"all is gone", kBase, ""},
-          {"a line is new", kBase, "a\nb\nx\nc\n"},
-          {"a line is gone", kBase, "a\nc\n"},
-          {"lines moved", kBase, "c\na\nb\n"},
-          {"lines came twice", kBase, "a\nb\nc\na\nb\nc\n"},
+          {"the base is empty", "", kBase},
+          {"the target is empty", kBase, ""},
+          {"a line is added", kBase, "a\nb\nx\nc\n"},
+          {"a line is removed", kBase, "a\nc\n"},
+          {"lines are reordered", kBase, "c\na\nb\n"},
+          {"lines are repeated", kBase, "a\nb\nc\na\nb\nc\n"},
           {"the base has a line twice", "a\na\nb\n", "b\na\na\n"},
-          {"the last line has no end", kBase, "a\nb\nc"},
-          {"the base's last line has no end", "a\nb\nc", "c\na\nb\nc\n"},
-          {"ends of lines are others", kBase, "a\r\nb\r\nc\r\n"},
-          {"there are bytes that are no text", kBase,
+          {"the last line has no line end", kBase, "a\nb\nc"},
+          {"the base's last line has no line end", "a\nb\nc", "c\na\nb\nc\n"},
+          {"line ends differ", kBase, "a\r\nb\r\nc\r\n"},
+          {"the target has bytes that are not text", kBase,
            std::string("a\n\0\xff", 4)}},
          [](const Change& change) { return change.name; },
          [](const Change& change) {
@@ -57,7 +57,7 @@
            CPPUNIT_ASSERT_EQUAL(change.target,
                                 ApplyDelta(change.base, delta).value());
          }),
-     It("gives back any of many texts from any other",
+     It("reproduces each of many random texts from another",
         [] {
           RandomSource random(3);
           std::string base;
@@ -69,7 +69,7 @@
             base = std::move(target);
           }
         }),
-     It("is as small as what changed",
+     It("is as small as the change",
         [] {
           std::string base;
           for (int i = 0; i < 1000; ++i) {
@@ -84,19 +84,19 @@
           CPPUNIT_ASSERT(std::get<std::string>(delta.steps[1]) ==
                          "slots = 5\n");
         }),
-     // Symptom: a process ran a text that nobody had published, or died for
-     // want of memory. Sequence: a record's delta was damaged or made by hand.
-     // Cause: its steps were followed without looking at what came of them.
+     // Guards against a process that uses a text which was never published, or
+     // runs out of memory: a delta that was damaged or made by hand is applied
+     // without checks of the result.
      ForEach<BadDelta>(
-         "is refused when",
+         "is rejected when",
          {{"it was made from another text",
            MakeDelta("a\nb\nd\n", "a\nb\nd\ne\n")},
-          {"it names lines that are not there",
+          {"it names lines that the base does not have",
            {.steps = {CopyLines{.first = 1, .count = 3}}}},
           {"it begins after the end",
            {.steps = {CopyLines{.first = 3, .count = 1}}}},
           {"it copies nothing", {.steps = {CopyLines{.first = 0, .count = 0}}}},
-          {"its lines overflow a number",
+          {"its line range overflows an integer",
            {.steps = {CopyLines{.first = 2, .count = ~std::uint64_t{0}}}}},
           {"its digest is another text's",
            {.steps = {CopyLines{.first = 0, .count = 3}},
@@ -105,7 +105,7 @@
          [](const BadDelta& bad) {
            CPPUNIT_ASSERT(!ApplyDelta(kBase, bad.delta).ok());
          }),
-     It("is refused before its text grows beyond the bound", [] {
+     It("is rejected before its text exceeds the bound", [] {
        const std::string base(kLongestDeltaText / 2, 'x');
        TextDelta delta{.steps = std::vector<DeltaStep>(
                            1000, CopyLines{.first = 0, .count = 1})};
--- a/src/configuration/text_deltas.h
+++ b/src/configuration/text_deltas.h
@@ -10,20 +10,21 @@
 
 namespace acacialug::configuration {
 
-// The longest text that a delta may make, in bytes; a manifest's own bound.
+// Maximum size in bytes of a text made by a delta; the same bound as a
+// manifest's.
 inline constexpr std::size_t kLongestDeltaText = std::size_t{16} << 20U;
 
-// XXH3, 128 bits: against errors, not against who can choose both texts.
-// Thread safe.
+// XXH3, 128 bits. Detects errors, but not an attacker that can choose both
+// texts. Thread safe.
 TextDigest DigestOf(std::string_view text);
 
-// The way from `base` to `target` by whole lines, in a time that is linear in
-// both. Thread safe.
+// Makes the delta from `base` to `target` by whole lines, in time linear in the
+// sizes of both. Thread safe.
 TextDelta MakeDelta(std::string_view base, std::string_view target);
 
 // Thread safe. Errors: kManifestInvalid when a step names lines that `base`
-// does not have, the text would exceed kLongestDeltaText, or its digest is
-// another one: this base is not the one that the delta was made from.
+// does not have, when the text would exceed kLongestDeltaText, or when its
+// digest differs, which means that the delta was made from another base.
 Result<std::string> ApplyDelta(std::string_view base, const TextDelta& delta);
 
 }  // namespace acacialug::configuration
--- a/src/configuration/types/configuration_record.h
+++ b/src/configuration/types/configuration_record.h
@@ -21,15 +21,15 @@
 
 // One record of the configuration stream, a JSON object in the log.
 //
-// A publish asks for `manifest_text` to replace the one that the text itself
-// names (`replaces`). A checkpoint repeats a manifest that was accepted at
-// `accepted_at`, so that retention never drops the only copy; its author had
-// read the stream up to and including `read_through`. A publish by delta is a
-// publish whose text is made from that of the manifest at `replaces`.
+// A publish requests that `manifest_text` replace the manifest that the text
+// itself names (`replaces`). A checkpoint repeats a manifest that was accepted
+// at `accepted_at`, so that log retention never drops the only copy; its author
+// had read the stream up to and including `read_through`. A publish by delta is
+// a publish whose text is made from the text of the manifest at `replaces`.
 struct ConfigurationRecord {
   RecordKind kind = RecordKind::kPublish;
   std::string manifest_text;
-  std::string publisher;   // who asks, for people
+  std::string publisher;   // origin of the request; for people only
   RequestId publication;   // random; finds a record whose append answer is lost
   LogOffset accepted_at;   // kCheckpoint
   LogOffset read_through;  // kCheckpoint
@@ -40,8 +40,8 @@
                          const ConfigurationRecord&) = default;
 };
 
-// Thread safe, both. Errors: kPlatformBadAnswer for any payload that is no
-// such object.
+// Both functions are thread safe. Errors: kPlatformBadAnswer for any payload
+// that is not such an object.
 std::string EncodeRecord(const ConfigurationRecord& record);
 Result<ConfigurationRecord> DecodeRecord(std::string_view payload);
 
--- a/src/configuration/types/text_delta.h
+++ b/src/configuration/types/text_delta.h
@@ -8,7 +8,7 @@
 
 namespace acacialug::configuration {
 
-// Of the text that results; a pair of machine words, high one first.
+// Digest of the resulting text: 128 bits as two words, the high one first.
 struct TextDigest {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -16,7 +16,7 @@
   friend bool operator==(const TextDigest&, const TextDigest&) = default;
 };
 
-// Lines of the base, counted from 0.
+// Lines of the base text, counted from 0.
 struct CopyLines {
   std::uint64_t first = 0;
   std::uint64_t count = 0;
@@ -24,10 +24,10 @@
   friend bool operator==(const CopyLines&, const CopyLines&) = default;
 };
 
-// Copied or new text.
+// Copied lines or new text.
 using DeltaStep = std::variant<CopyLines, std::string>;
 
-// How one text becomes another, step after step.
+// The steps that make one text from another, in order.
 struct TextDelta {
   std::vector<DeltaStep> steps;
   TextDigest digest;
