--- a/src/configuration/configuration_follower.h
+++ b/src/configuration/configuration_follower.h
@@ -121,8 +121,8 @@
   bool log_failed = false;
   Duration retry_delay{};
   Instant timer = kNever;
-  Instant fetch_at =
-      kNever;  // fetch from peers if the log has not delivered by then
+  // When to fetch from peers, unless the log has delivered by then.
+  Instant fetch_at = kNever;
   LogOffset copy_seen;
   Instant copy_due = kNever;
   std::vector<FollowerAction> actions;
--- a/src/configuration/configuration_history.h
+++ b/src/configuration/configuration_history.h
@@ -129,8 +129,8 @@
   LogOffset complete_from;  // all records from this offset on were applied
   LogOffset through;
   LogOffset copy_offset;
-  LogOffset
-      full_text_offset;  // newest accepted text known to be published in full
+  // Of the newest accepted text that is known to be published in full.
+  LogOffset full_text_offset;
   std::optional<AcceptedManifest> accepted;
   std::deque<HeldBack> held_back;
   std::deque<Judgement> kept;
--- a/src/quota/quota_ledger.h
+++ b/src/quota/quota_ledger.h
@@ -48,7 +48,7 @@
     PeerShares::Options shares;
   };
 
-  // Number of peer groups; changes are tracked for each group's reports apart.
+  // Number of peer groups; unreported changes are tracked separately for each.
   static constexpr std::size_t kGroups = 2;
 
   explicit QuotaLedger(Options ledger_options)
@@ -74,12 +74,12 @@
                                        std::size_t max_reports,
                                        Instant now);
 
-  // Applies the reports of a peer; records that a peer exists according to a
-  // listing.
+  // Applies the reports of a peer.
   void OnPeerReport(const std::string& peer_id,
                     Incarnation incarnation,
                     const std::vector<QuotaUse>& reports,
                     Instant now);
+  // Records that the peer exists according to a listing.
   void OnPeerListed(const std::string& peer, Instant now) {
     this->shares.OnPeerListed(peer, now);
   }
--- a/src/quota/types/quota_use.h
+++ b/src/quota/types/quota_use.h
@@ -11,7 +11,7 @@
 // Hash of the customer's name, equal in all processes.
 using CustomerKey = Number<struct CustomerKeyTag>;
 
-// Limit over all processes together, in the units that the caller counts.
+// Limit over all processes together, in the units in which usage is counted.
 struct Quota {
   double per_second = 0;  // zero: no limit
   double burst = 0;
