--- a/src/gateway/admission_queue.cc
+++ b/src/gateway/admission_queue.cc
@@ -8,7 +8,7 @@
 
 // Without any work of its own a process still gets its share of what others
 // free: the rate of one stream that ends each second.
-constexpr double kLeastTokensPerSecond = 4000;
+constexpr double kMinTokensPerSecond = 4000;
 // The last part of the longest return time is drawn at random, so that those
 // who are sent away for the longest do not come together.
 constexpr double kReturnSpread = 0.3;
@@ -24,7 +24,7 @@
 
 Duration AdmissionQueue::TimeToFree(std::uint64_t kv_tokens) const {
   const double rate =
-      std::max(kLeastTokensPerSecond,
+      std::max(kMinTokensPerSecond,
                static_cast<double>(this->taken) / Seconds(this->hold));
   return FromSeconds(static_cast<double>(kv_tokens) / rate);
 }
@@ -34,7 +34,8 @@
          OrderOf(this->tickets.front()) <= OrderOf(ticket);
 }
 
-AdmissionQueue::Verdict AdmissionQueue::Ask(const Ticket& ticket) const {
+AdmissionQueue::Decision AdmissionQueue::CheckAdmission(
+    const Ticket& ticket) const {
   std::uint64_t ahead = ticket.kv_tokens;
   for (const Ticket& other : this->tickets) {
     if (OrderOf(other) <= OrderOf(ticket)) {
@@ -43,30 +44,30 @@
   }
   const Duration wait = this->TimeToFree(ahead);
   const Duration longest = ticket.rank == TicketRank::kLate
-                               ? this->options.longest_late_wait
-                               : this->options.longest_wait;
+                               ? this->options.max_late_wait
+                               : this->options.max_wait;
   return {.admitted = wait <= longest, .expected_wait = wait};
 }
 
-Duration AdmissionQueue::NextReturn(std::uint64_t kv_tokens,
-                                    Duration time_left,
-                                    Instant now,
-                                    RandomSource& random) {
-  const Duration least = std::max(
-      this->options.least_retry,
-      FromSeconds(Seconds(time_left) * this->options.least_retry_share));
+Duration AdmissionQueue::NextRetryDelay(std::uint64_t kv_tokens,
+                                        Duration time_left,
+                                        Instant now,
+                                        RandomSource& random) {
+  const Duration least =
+      std::max(this->options.min_retry,
+               FromSeconds(Seconds(time_left) * this->options.min_retry_share));
   const Duration longest =
-      std::max(least, std::min(this->options.longest_retry,
+      std::max(least, std::min(this->options.max_retry,
                                FromSeconds(Seconds(time_left) *
-                                           this->options.longest_retry_share)));
+                                           this->options.max_retry_share)));
   const Duration turn = FromSeconds(Seconds(this->TimeToFree(kv_tokens)) /
                                     this->options.return_share);
-  this->next_return = std::max(this->next_return + turn, now + least);
+  this->next_retry = std::max(this->next_retry + turn, now + least);
   // A queue outside that is longer than callers wait is no queue.
-  this->next_return = std::min(this->next_return, now + longest);
+  this->next_retry = std::min(this->next_retry, now + longest);
   const Duration spread =
       longest - FromSeconds(Seconds(longest) * kReturnSpread * random.Unit());
-  return std::min(this->next_return - now, spread);
+  return std::min(this->next_retry - now, spread);
 }
 
 void AdmissionQueue::Push(const Ticket& ticket) {
@@ -95,21 +96,21 @@
   return this->tickets.empty() ? nullptr : &this->tickets.front();
 }
 
-std::vector<TicketId> AdmissionQueue::GivenUp(Instant now) const {
+std::vector<TicketId> AdmissionQueue::Expired(Instant now) const {
   std::vector<TicketId> given_up;
   for (const Ticket& ticket : this->tickets) {
-    if (now >= ticket.gives_up_at) {
+    if (now >= ticket.expires_at) {
       given_up.push_back(ticket.id);
     }
   }
   return given_up;
 }
 
-void AdmissionQueue::NoteTaken(std::uint64_t kv_tokens) {
+void AdmissionQueue::NoteAllocated(std::uint64_t kv_tokens) {
   this->taken += kv_tokens;
 }
 
-void AdmissionQueue::NoteGiven(std::uint64_t kv_tokens, Duration held) {
+void AdmissionQueue::NoteReleased(std::uint64_t kv_tokens, Duration held) {
   this->taken -= std::min(this->taken, kv_tokens);
   this->hold += Duration(static_cast<Duration::rep>(
       this->options.hold_weight *
--- a/src/gateway/admission_queue.h
+++ b/src/gateway/admission_queue.h
@@ -42,19 +42,19 @@
     double hold_weight = 0.05;
     // The longest expected wait that is let in. What waits longer loses its
     // turn to newcomers at other processes, and its caller leaves.
-    Duration longest_wait = 50ms;
+    Duration max_wait = 50ms;
     // The same for those who are late already.
-    Duration longest_late_wait = 50ms;
+    Duration max_late_wait = 50ms;
     // Least and greatest time after which a refused caller is asked back, also
     // as shares of the time that it has left. One that comes back sooner meets
     // the same burst, and takes its place from another who could be in time;
     // its deadline must also tell it from a first try (GatewayCore). Callers do
     // not wait longer than the greatest, and one that comes back with less
     // could not be served to its end.
-    Duration least_retry = 300ms;
-    double least_retry_share = 0.2;
-    Duration longest_retry = 10s;
-    double longest_retry_share = 0.33;
+    Duration min_retry = 300ms;
+    double min_retry_share = 0.2;
+    Duration max_retry = 10s;
+    double max_retry_share = 0.33;
     // Share of what is freed that is set against the callers who will return:
     // the rest is for first tries. With more, those asked back meet others.
     double return_share = 0.2;
@@ -66,10 +66,10 @@
     TicketRank rank = TicketRank::kOnTime;
     std::uint64_t kv_tokens = 0;
     Instant arrived;
-    Instant gives_up_at = kNever;
+    Instant expires_at = kNever;
   };
 
-  struct Verdict {
+  struct Decision {
     bool admitted = true;
     Duration expected_wait{};
   };
@@ -80,7 +80,7 @@
   bool AnyAheadOf(const Ticket& ticket) const;
 
   // Decides on a newcomer for whom there is no place now.
-  Verdict Ask(const Ticket& ticket) const;
+  Decision CheckAdmission(const Ticket& ticket) const;
 
   void Push(const Ticket& ticket);
   // True when it was in the queue.
@@ -88,11 +88,11 @@
 
   // Who is next; null: nobody waits.
   const Ticket* Front() const;
-  std::vector<TicketId> GivenUp(Instant now) const;
+  std::vector<TicketId> Expired(Instant now) const;
 
   // Memory was given to a request of this process, and given back.
-  void NoteTaken(std::uint64_t kv_tokens);
-  void NoteGiven(std::uint64_t kv_tokens, Duration held);
+  void NoteAllocated(std::uint64_t kv_tokens);
+  void NoteReleased(std::uint64_t kv_tokens, Duration held);
 
   // How long until `kv_tokens` are given back here, at the rate of late.
   Duration TimeToFree(std::uint64_t kv_tokens) const;
@@ -101,10 +101,10 @@
   // other, as if they stood in a queue outside; else all who were refused in a
   // burst would come back as another.
   // `time_left`: of that caller.
-  Duration NextReturn(std::uint64_t kv_tokens,
-                      Duration time_left,
-                      Instant now,
-                      RandomSource& random);
+  Duration NextRetryDelay(std::uint64_t kv_tokens,
+                          Duration time_left,
+                          Instant now,
+                          RandomSource& random);
 
   std::size_t size() const { return this->tickets.size(); }
   std::uint64_t waiting_tokens() const { return this->waiting; }
@@ -115,7 +115,7 @@
   std::uint64_t waiting = 0;
   std::uint64_t taken = 0;
   Duration hold;
-  Instant next_return{};
+  Instant next_retry{};
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/bench/quota_ways_bench.cc
+++ b/src/gateway/bench/quota_strategies_bench.cc
@@ -14,28 +14,32 @@
 namespace acacialug::gateway::testing {
 namespace {
 
-using Way = std::pair<const char*, QuotaFleet::MakeWay>;
+using NamedStrategy = std::pair<const char*, QuotaFleet::MakeStrategy>;
 
-std::vector<Way> Ways() {
-  return {{"ledger", LedgerWay()},
-          {"reports", ReportsWay()},
-          {"even split", EvenSplitWay()},
-          {"by demand", DemandWay()},
-          {"home", HomeProcessWay()}};
+std::vector<NamedStrategy> Strategies() {
+  return {{"ledger", LedgerStrategy()},
+          {"reports", ReportsStrategy()},
+          {"even split", EvenSplitStrategy()},
+          {"by demand", DemandStrategy()},
+          {"home", HomeProcessStrategy()}};
 }
 
 std::vector<QuotaCase> Cases(std::size_t processes) {
   std::vector<QuotaCase> cases = {
       {.name = "steady"},
-      {.name = "through two", .through = 2},
-      {.name = "hot x8", .hot = 8},
-      {.name = "hot x8 through two", .through = 2, .hot = 8},
-      {.name = "limit lowered to 0.3", .hot = 3, .lowered = 0.3},
-      {.name = "steady, 0.35 cut off", .cut = 0.35},
-      {.name = "hot x8, half cut off", .hot = 8, .cut = 0.5},
-      {.name = "hot x8, all cut off", .hot = 8, .cut = 1},
+      {.name = "through two", .reached_processes = 2},
+      {.name = "hot x8", .burst_factor = 8},
+      {.name = "hot x8 through two", .reached_processes = 2, .burst_factor = 8},
+      {.name = "limit lowered to 0.3",
+       .burst_factor = 3,
+       .lowered_factor = 0.3},
+      {.name = "steady, 0.35 cut off", .cut_share = 0.35},
+      {.name = "hot x8, half cut off", .burst_factor = 8, .cut_share = 0.5},
+      {.name = "hot x8, all cut off", .burst_factor = 8, .cut_share = 1},
       {.name = "steady, all start anew", .all_restart = true},
-      {.name = "hot x8, all start anew", .hot = 8, .all_restart = true},
+      {.name = "hot x8, all start anew",
+       .burst_factor = 8,
+       .all_restart = true},
       {.name = "steady, one by one anew", .roll_restart = true}};
   for (QuotaCase& each : cases) {
     each.processes = processes;
@@ -44,32 +48,35 @@
   return cases;
 }
 
-void Compare(const QuotaCase& quota_case, const Way& way, std::uint64_t seeds) {
+void Compare(const QuotaCase& quota_case,
+             const NamedStrategy& strategy,
+             std::uint64_t seeds) {
   double refused = 0;
   double fullest = 0;
-  double told = 0;
-  std::uint64_t over = 0;
+  double reported = 0;
+  std::uint64_t finished = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     QuotaCase seeded = quota_case;
     seeded.seed = seed;
-    QuotaFleet fleet(seeded, way.second);
+    QuotaFleet fleet(seeded, strategy.second);
     fleet.Run();
     refused += fleet.wrongly_refused();
-    told += fleet.news_per_second();
-    over += fleet.fullest_window() > 1 ? 1 : 0;
+    reported += fleet.reports_per_second();
+    finished += fleet.fullest_window() > 1 ? 1 : 0;
     fullest = std::max(fullest, fleet.fullest_window());
   }
   const auto runs = static_cast<double>(seeds);
   std::printf("| %zu | %s | %s | %.4f | %.2f | %llu of %llu | %.0f |\n",
-              quota_case.processes, quota_case.name.c_str(), way.first,
-              refused / runs, fullest, static_cast<unsigned long long>(over),
-              static_cast<unsigned long long>(seeds), told / runs);
+              quota_case.processes, quota_case.name.c_str(), strategy.first,
+              refused / runs, fullest,
+              static_cast<unsigned long long>(finished),
+              static_cast<unsigned long long>(seeds), reported / runs);
 }
 
 }  // namespace
 }  // namespace acacialug::gateway::testing
 
-// usage: quota_ways_bench [PROCESSES [SEEDS]]
+// usage: quota_strategies_bench [PROCESSES [SEEDS]]
 int main(int argc, char** argv) {
   using namespace acacialug::gateway::testing;
   const std::size_t processes = argc > 1 ? std::stoul(argv[1]) : 26;
@@ -79,8 +86,8 @@
       "runs over the bound | bytes told a second and process |\n"
       "| --- | --- | --- | --- | --- | --- | --- |\n");
   for (const QuotaCase& quota_case : Cases(processes)) {
-    for (const Way& way : Ways()) {
-      Compare(quota_case, way, seeds);
+    for (const NamedStrategy& strategy : Strategies()) {
+      Compare(quota_case, strategy, seeds);
     }
   }
   return 0;
--- a/src/gateway/call_placement.cc
+++ b/src/gateway/call_placement.cc
@@ -29,7 +29,7 @@
   return health.Avoided(endpoint.id, need.now) ||
                  health.Full(endpoint.id, need.now)
              ? CandidateRank::kAvoided
-             : CandidateRank::kSound;
+             : CandidateRank::kHealthy;
 }
 
 }  // namespace
@@ -40,10 +40,10 @@
     RandomSource& random) const {
   Candidates candidates(need.domain);
   for (const EndpointRecord* const endpoint : endpoints) {
-    const EndpointLoad load = this->book.Of(endpoint->id);
+    const EndpointLoad load = this->load_table.TotalAt(endpoint->id);
     const double busy = BusyShare(load, *endpoint);
     candidates.NotePlaced(*endpoint, busy);
-    if (load.requests < endpoint->slots * (1 + kMostWaitingPerSlot)) {
+    if (load.requests < endpoint->slots * (1 + kMaxWaitingPerSlot)) {
       candidates.Add(
           *endpoint, RankOf(*endpoint, need, this->health),
           busy + random.Unit() * kSpread +
@@ -51,8 +51,8 @@
     }
   }
   return candidates
-      .Choose(PlacementNews::Of(this->book, need.hold, need.now), kOtherDomain,
-              random)
+      .Choose(LoadStaleness::Measure(this->load_table, need.hold, need.now),
+              kOtherDomain, random)
       .endpoint;
 }
 
--- a/src/gateway/call_placement.h
+++ b/src/gateway/call_placement.h
@@ -6,7 +6,7 @@
 #include "framework/global/random_source.h"
 #include "gateway/endpoint_catalog.h"
 #include "gateway/endpoint_health.h"
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 
 namespace acacialug::gateway {
 
@@ -20,7 +20,7 @@
  public:
   // Requests at an endpoint beyond its slots, for each slot, at which a new
   // one is refused: it would wait as long again as it may last.
-  static constexpr std::uint32_t kMostWaitingPerSlot = 3;
+  static constexpr std::uint32_t kMaxWaitingPerSlot = 3;
 
   struct Need {
     FailureDomain domain;           // of this process
@@ -29,8 +29,8 @@
     Instant now;
   };
 
-  CallPlacement(const LoadBook& load_book, const EndpointHealth& health_seen)
-      : book(load_book), health(health_seen) {}
+  CallPlacement(const LoadTable& table, const EndpointHealth& health_seen)
+      : load_table(table), health(health_seen) {}
 
   // Null: none is known, or all are too busy. With tried ones only, the best
   // of those.
@@ -40,7 +40,7 @@
       RandomSource& random) const;
 
  private:
-  const LoadBook& book;
+  const LoadTable& load_table;
   const EndpointHealth& health;
 };
 
--- a/src/gateway/endpoint_catalog.cc
+++ b/src/gateway/endpoint_catalog.cc
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 
 namespace acacialug::gateway {
 
@@ -29,10 +29,10 @@
   this->deletions.erase(change.id);
   const bool same = found != this->entries.end() && !found->second.lapsed_at &&
                     found->second.record == *change.record;
-  const bool restarted = found != this->entries.end() &&
-                         change.record->born > 0 &&
-                         found->second.record.born > 0 &&
-                         found->second.record.born != change.record->born;
+  const bool restarted =
+      found != this->entries.end() && change.record->started_at_ms > 0 &&
+      found->second.record.started_at_ms > 0 &&
+      found->second.record.started_at_ms != change.record->started_at_ms;
   this->entries[change.id] = {.record = *change.record,
                               .offset = change.offset};
   if (!same) {
@@ -124,19 +124,19 @@
 }
 
 bool EndpointCatalog::Sweep(Instant now) {
-  std::vector<std::pair<EndpointId, LogOffset>> over;
+  std::vector<std::pair<EndpointId, LogOffset>> expired;
   for (const auto& [id, entry] : this->entries) {
     if (entry.lapsed_at && !this->InLapseGrace(now)) {
-      over.emplace_back(id, *entry.lapsed_at);
+      expired.emplace_back(id, *entry.lapsed_at);
     }
   }
-  for (const auto& [id, offset] : over) {
+  for (const auto& [id, offset] : expired) {
     this->Remove(id, offset, now);
   }
   std::erase_if(this->deletions, [now](const auto& deletion) {
     return deletion.second.forgotten_at <= now;
   });
-  return !over.empty();
+  return !expired.empty();
 }
 
 LogOffset EndpointCatalog::complete_to() const {
@@ -147,7 +147,7 @@
   return complete;
 }
 
-std::vector<const EndpointRecord*> EndpointCatalog::Of(
+std::vector<const EndpointRecord*> EndpointCatalog::ForService(
     const ServiceName& service) const {
   std::vector<const EndpointRecord*> usable;
   for (const auto& [id, entry] : this->entries) {
@@ -165,7 +165,7 @@
 
 const EndpointRecord* EndpointCatalog::FindByKey(std::uint64_t key) const {
   for (const auto& [id, entry] : this->entries) {
-    if (LoadBook::KeyOf(id) == key) {
+    if (LoadTable::KeyOf(id) == key) {
       return &entry.record;
     }
   }
--- a/src/gateway/endpoint_catalog.h
+++ b/src/gateway/endpoint_catalog.h
@@ -45,10 +45,11 @@
   bool Sweep(Instant now);
 
   // Endpoints of a service that take new work; good until the next change.
-  std::vector<const EndpointRecord*> Of(const ServiceName& service) const;
+  std::vector<const EndpointRecord*> ForService(
+      const ServiceName& service) const;
   // Null: not known, or gone.
   const EndpointRecord* Find(const EndpointId& id) const;
-  // The same by LoadBook::KeyOf its id; looks at all of them.
+  // The same by LoadTable::KeyOf its id; looks at all of them.
   const EndpointRecord* FindByKey(std::uint64_t key) const;
 
   // For peers: all that is known, with the offset that it is complete to.
--- a/src/gateway/endpoint_health.cc
+++ b/src/gateway/endpoint_health.cc
@@ -2,21 +2,21 @@
 
 #include <algorithm>
 
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 
 namespace acacialug::gateway {
 namespace {
 
-constexpr std::uint32_t kMostDoublings = 8;
+constexpr std::uint32_t kMaxDoublings = 8;
 // One slow answer must not read as a slow endpoint for long, nor a quick one
 // as a miracle.
-constexpr double kLeastRatio = 0.25;
+constexpr double kMinRatio = 0.25;
 constexpr double kGreatestRatio = 8.0;
 
 // A pause that doubles with each time in a row before this one.
 Duration PauseAfter(Duration first, std::uint32_t times) {
-  const std::uint32_t doublings = std::min(times, kMostDoublings);
-  return std::min(EndpointHealth::kLongestPause,
+  const std::uint32_t doublings = std::min(times, kMaxDoublings);
+  return std::min(EndpointHealth::kMaxPause,
                   first * (std::int64_t{1} << doublings));
 }
 
@@ -37,46 +37,46 @@
 
 void EndpointHealth::Forget(const EndpointId& endpoint) {
   this->states.erase(endpoint);
-  this->pauses.erase(LoadBook::KeyOf(endpoint));
-  this->told_unreachable.erase(LoadBook::KeyOf(endpoint));
+  this->pauses.erase(LoadTable::KeyOf(endpoint));
+  this->reported_unreachable.erase(LoadTable::KeyOf(endpoint));
 }
 
 void EndpointHealth::Sweep(Instant now) {
   std::erase_if(this->states, [now](const auto& entry) {
     return entry.second.seen_at + kMemory < now;
   });
-  const auto over = [now](const auto& entry) { return entry.second < now; };
-  std::erase_if(this->pauses, over);
-  std::erase_if(this->told_unreachable, over);
+  const auto expired = [now](const auto& entry) { return entry.second < now; };
+  std::erase_if(this->pauses, expired);
+  std::erase_if(this->reported_unreachable, expired);
 }
 
 void EndpointHealth::NoteSuccess(const EndpointId& endpoint, Instant now) {
   this->NoteAnswer(endpoint, now);
   State& state = this->states[endpoint];
   state.failure_share *= 1 - kOutcomeWeight;
-  state.silences = 0;
+  state.timeouts = 0;
   state.avoided_until = Instant{};
 }
 
 void EndpointHealth::NoteFailure(const EndpointId& endpoint, Instant now) {
   State& state = this->Touch(endpoint, now);
   state.failure_share += (1 - state.failure_share) * kOutcomeWeight;
-  state.silences = 0;
-  if (state.failure_share > kWorstFailureShare) {
+  state.timeouts = 0;
+  if (state.failure_share > kMaxFailureShare) {
     state.avoided_until = std::max(state.avoided_until, now + kFirstPause);
   }
 }
 
-void EndpointHealth::NoteSilence(const EndpointId& endpoint, Instant now) {
+void EndpointHealth::NoteTimeout(const EndpointId& endpoint, Instant now) {
   State& state = this->Touch(endpoint, now);
-  const Duration pause = PauseAfter(kFirstPause, state.silences);
-  ++state.silences;
+  const Duration pause = PauseAfter(kFirstPause, state.timeouts);
+  ++state.timeouts;
   state.failure_share += (1 - state.failure_share) * kOutcomeWeight;
   state.avoided_until = std::max(state.avoided_until, now + pause);
 }
 
 void EndpointHealth::NoteUnreachable(const EndpointId& endpoint, Instant now) {
-  this->NoteSilence(endpoint, now);
+  this->NoteTimeout(endpoint, now);
   State& state = this->states[endpoint];
   state.unreachable_until = state.avoided_until;
 }
@@ -85,18 +85,18 @@
                               bool sent,
                               Instant now) {
   if (sent) {
-    this->NoteSilence(endpoint, now);
+    this->NoteTimeout(endpoint, now);
   } else {
     this->NoteUnreachable(endpoint, now);
   }
 }
 
-bool EndpointHealth::NoteToldUnreachable(std::uint64_t endpoint_key,
-                                         Duration left,
-                                         Instant now) {
-  Instant& until = this->told_unreachable[endpoint_key];
+bool EndpointHealth::NoteReportedUnreachable(std::uint64_t endpoint_key,
+                                             Duration left,
+                                             Instant now) {
+  Instant& until = this->reported_unreachable[endpoint_key];
   const bool newly = until <= now;
-  until = std::max(until, now + std::min(left, kToldPause));
+  until = std::max(until, now + std::min(left, kReportedPause));
   return newly;
 }
 
@@ -104,7 +104,7 @@
   std::vector<EndpointPause> pauses;
   for (const auto& [endpoint, state] : this->states) {
     if (now < state.unreachable_until) {
-      pauses.push_back({.endpoint_key = LoadBook::KeyOf(endpoint),
+      pauses.push_back({.endpoint_key = LoadTable::KeyOf(endpoint),
                         .left = state.unreachable_until - now,
                         .reason = PauseReason::kUnreachable});
     }
@@ -114,26 +114,26 @@
 
 void EndpointHealth::NoteFull(const EndpointId& endpoint, Instant now) {
   State& state = this->Touch(endpoint, now);
-  state.silences = 0;
+  state.timeouts = 0;
   state.full_until = now + kFullPause;
 }
 
-void EndpointHealth::NoteUnwilling(const EndpointId& endpoint,
-                                   Duration oldest_news,
-                                   Instant now) {
+void EndpointHealth::NoteUnexpectedRefusal(const EndpointId& endpoint,
+                                           Duration oldest_report_age,
+                                           Instant now) {
   State& state = this->Touch(endpoint, now);
-  if (state.refusals > 0 && now - state.refused_at < oldest_news) {
+  if (state.refusals > 0 && now - state.refused_at < oldest_report_age) {
     state.full_until = std::max(state.full_until, now + kFullPause);
     return;
   }
   state.refused_at = now;
   state.full_until = now + PauseAfter(kFullPause, state.refusals);
-  if (++state.refusals >= kSureRefusals) {
+  if (++state.refusals >= kConfirmedRefusals) {
     state.unreachable_until = state.full_until;
   }
 }
 
-void EndpointHealth::NoteRoom(const EndpointId& endpoint) {
+void EndpointHealth::NoteCapacity(const EndpointId& endpoint) {
   const auto found = this->states.find(endpoint);
   if (found != this->states.end()) {
     found->second.refusals = 0;
@@ -141,20 +141,20 @@
   }
 }
 
-void EndpointHealth::NoteBrokenPromise(const EndpointId& endpoint,
-                                       Instant now) {
+void EndpointHealth::NoteBrokenReservation(const EndpointId& endpoint,
+                                           Instant now) {
   State& state = this->Touch(endpoint, now);
-  if (++state.broken_promises >= kSureBroken) {
-    this->NoteSilence(endpoint, now);
+  if (++state.broken_reservations >= kMaxBrokenReservations) {
+    this->NoteTimeout(endpoint, now);
   } else {
     this->NoteFull(endpoint, now);
   }
 }
 
-void EndpointHealth::NoteBegun(const EndpointId& endpoint) {
+void EndpointHealth::NoteStarted(const EndpointId& endpoint) {
   const auto found = this->states.find(endpoint);
   if (found != this->states.end()) {
-    found->second.broken_promises = 0;
+    found->second.broken_reservations = 0;
   }
 }
 
@@ -165,7 +165,7 @@
 
 void EndpointHealth::NoteSpeed(const EndpointId& endpoint, double ratio) {
   State& state = this->states[endpoint];
-  const double bounded = std::clamp(ratio, kLeastRatio, kGreatestRatio);
+  const double bounded = std::clamp(ratio, kMinRatio, kGreatestRatio);
   state.slowness += (bounded - state.slowness) * kSpeedWeight;
 }
 
@@ -177,7 +177,7 @@
   if (this->pauses.empty()) {
     return false;
   }
-  const auto found = this->pauses.find(LoadBook::KeyOf(endpoint));
+  const auto found = this->pauses.find(LoadTable::KeyOf(endpoint));
   return found != this->pauses.end() && now < found->second;
 }
 
@@ -187,15 +187,16 @@
     if (now < found->second.avoided_until) {
       return true;
     }
-    if (found->second.answered_at + kFreshAnswer > now) {
+    if (found->second.answered_at + kRecentAnswer > now) {
       return false;
     }
   }
-  if (this->told_unreachable.empty()) {
+  if (this->reported_unreachable.empty()) {
     return false;
   }
-  const auto told = this->told_unreachable.find(LoadBook::KeyOf(endpoint));
-  return told != this->told_unreachable.end() && now < told->second;
+  const auto reported =
+      this->reported_unreachable.find(LoadTable::KeyOf(endpoint));
+  return reported != this->reported_unreachable.end() && now < reported->second;
 }
 
 double EndpointHealth::FailureShare(const EndpointId& endpoint) const {
--- a/src/gateway/endpoint_health.h
+++ b/src/gateway/endpoint_health.h
@@ -22,23 +22,23 @@
   // A host that restarts is back in about a second; a dead one loses its
   // record in three heartbeats, under 4 s.
   static constexpr Duration kFirstPause = 500ms;
-  static constexpr Duration kLongestPause = 4s;
+  static constexpr Duration kMaxPause = 4s;
   // A peer's word on an endpoint that cannot be reached counts for this long,
   // and is repeated while it holds; and not against an answer that is newer
   // than this: some two heartbeats of a peer.
-  static constexpr Duration kToldPause = 500ms;
-  static constexpr Duration kFreshAnswer = 250ms;
+  static constexpr Duration kReportedPause = 500ms;
+  static constexpr Duration kRecentAnswer = 250ms;
   // Refusals in a row, while far from full, of which peers are told.
-  static constexpr std::uint32_t kSureRefusals = 2;
+  static constexpr std::uint32_t kConfirmedRefusals = 2;
   // Refusals of work that was promised room, after which it is avoided.
-  static constexpr std::uint32_t kSureBroken = 2;
+  static constexpr std::uint32_t kMaxBrokenReservations = 2;
   static constexpr Duration kMemory = 60s;
   // A full endpoint ends some request about this often, and peers' loads are
   // heard again within it.
   static constexpr Duration kFullPause = 150ms;
   // A share of failures above this is avoided like silence. Sound services
   // answer a part of their requests with failures of their own.
-  static constexpr double kWorstFailureShare = 0.35;
+  static constexpr double kMaxFailureShare = 0.35;
   // Weight of the newest outcome: some ten outcomes decide.
   static constexpr double kOutcomeWeight = 0.12;
   // Weight of the newest speed.
@@ -50,7 +50,7 @@
   // It answered, and with a failure.
   void NoteFailure(const EndpointId& endpoint, Instant now);
   // No connection, a broken one, or no answer in time.
-  void NoteSilence(const EndpointId& endpoint, Instant now);
+  void NoteTimeout(const EndpointId& endpoint, Instant now);
   // A silence before anything could be sent: peers are told of it.
   void NoteUnreachable(const EndpointId& endpoint, Instant now);
   // An exchange broke; `sent`: after something of it may have arrived.
@@ -58,31 +58,31 @@
   // A peer could not reach it, and thinks so until then. Believed unless the
   // endpoint has just answered here: the peer may be the one that is cut off.
   // True: nobody had told so of late.
-  bool NoteToldUnreachable(std::uint64_t endpoint_key,
-                           Duration left,
-                           Instant now);
+  bool NoteReportedUnreachable(std::uint64_t endpoint_key,
+                               Duration left,
+                               Instant now);
   // It refused for want of room that it was thought to have; and it has room
   // again, since it took work or something there has ended.
   void NoteFull(const EndpointId& endpoint, Instant now);
-  void NoteRoom(const EndpointId& endpoint);
+  void NoteCapacity(const EndpointId& endpoint);
   // It refused while it was thought to be far from full: it leaves, or does not
   // work. Paused longer each time. One refusal, and those until all peers have
   // told what they had placed there by then, may have their placements as a
   // cause: if each process doubted it then and told the others, a sound
-  // endpoint that is just full would be left alone by all. `oldest_news`: since
-  // when every peer has told.
-  void NoteUnwilling(const EndpointId& endpoint,
-                     Duration oldest_news,
-                     Instant now);
+  // endpoint that is just full would be left alone by all. `oldest_report_age`:
+  // since when every peer has told.
+  void NoteUnexpectedRefusal(const EndpointId& endpoint,
+                             Duration oldest_report_age,
+                             Instant now);
   // It refused work for which it had set memory aside, in a row since it last
   // began any: it changes its role, or is about to end. Avoided like one that
   // is silent, from the second on; the first may be a computed prompt that
   // lapsed.
-  void NoteBrokenPromise(const EndpointId& endpoint, Instant now);
+  void NoteBrokenReservation(const EndpointId& endpoint, Instant now);
   // It began work.
-  void NoteBegun(const EndpointId& endpoint);
+  void NoteStarted(const EndpointId& endpoint);
   // It changes its role, and takes no work until then. By the hash of its id,
-  // as peers tell it (LoadBook::KeyOf).
+  // as peers tell it (LoadTable::KeyOf).
   void NotePause(std::uint64_t endpoint_key, Instant until);
   // A piece of work took `ratio` times what was expected. Precondition: > 0.
   void NoteSpeed(const EndpointId& endpoint, double ratio);
@@ -113,10 +113,10 @@
     Instant unreachable_until{};
     double failure_share = 0;
     double slowness = 1;
-    std::uint32_t silences = 0;         // in a row
-    std::uint32_t refusals = 0;         // in a row, while far from full
-    Instant refused_at{};               // the last of those that counts
-    std::uint32_t broken_promises = 0;  // since it last began work
+    std::uint32_t timeouts = 0;             // in a row
+    std::uint32_t refusals = 0;             // in a row, while far from full
+    Instant refused_at{};                   // the last of those that counts
+    std::uint32_t broken_reservations = 0;  // since it last began work
     Instant avoided_until{};
     Instant full_until{};
   };
@@ -124,8 +124,8 @@
   State& Touch(const EndpointId& endpoint, Instant now);
 
   std::map<EndpointId, State> states;
-  std::map<std::uint64_t, Instant> pauses;            // until
-  std::map<std::uint64_t, Instant> told_unreachable;  // until
+  std::map<std::uint64_t, Instant> pauses;                // until
+  std::map<std::uint64_t, Instant> reported_unreachable;  // until
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/gateway_core.cc
+++ b/src/gateway/gateway_core.cc
@@ -8,7 +8,7 @@
 
 #include "framework/global/hex_text.h"
 #include "gateway/internal/call_relay.h"
-#include "gateway/internal/customer_gate.h"
+#include "gateway/internal/customer_admission.h"
 #include "gateway/internal/refusal.h"
 #include "gateway/internal/relay_context.h"
 #include "gateway/internal/role_orders.h"
@@ -40,7 +40,7 @@
 }  // namespace
 
 class GatewayCore::Implementation {
-  using Refusal = CustomerGate::Verdict;
+  using Refusal = CustomerAdmission::Decision;
 
  public:
   Implementation(Options core_options, RandomSource& random_source)
@@ -49,22 +49,22 @@
         catalog([this](const EndpointRecord& started) {
           this->OnRestart(started);
         }),
-        book(this->options.hooks.on_load_changed),
-        alarms(this->options.hooks.wake_at),
+        load_table(this->options.hooks.on_load_changed),
+        timers(this->options.hooks.wake_at),
         crashes(this->options.crashes),
         customers({.tolerance = this->options.quotas,
                    .routes = [this] { return this->routes.get(); }}),
-        streams(this->options.placement, this->book, this->health),
-        calls(this->book, this->health),
+        streams(this->options.placement, this->load_table, this->health),
+        calls(this->load_table, this->health),
         context{.hooks = this->options.hooks,
                 .dialect = this->options.dialect,
                 .domain = this->options.domain,
                 .catalog = this->catalog,
                 .health = this->health,
-                .book = this->book,
+                .load_table = this->load_table,
                 .streams = this->streams,
                 .calls = this->calls,
-                .alarms = this->alarms,
+                .timers = this->timers,
                 .crashes = this->crashes,
                 .random = this->random,
                 .processes = [this] { return this->peers + 1; },
@@ -74,9 +74,9 @@
                       this->waiting.Add(std::static_pointer_cast<StreamRelay>(
                           relay.shared_from_this()));
                     },
-                .on_room =
+                .on_capacity_freed =
                     [this](const ServiceName& service) {
-                      this->waiting.OnRoom(service);
+                      this->waiting.OnCapacityFreed(service);
                     }},
         waiting(this->context),
         roles({.holder = this->options.id,
@@ -139,7 +139,7 @@
         newest->offset <= this->routes->configuration().offset) {
       return false;
     }
-    this->options.hooks.note(
+    this->options.hooks.log(
         log::Level::kInfo, "configuration_taken",
         {.fields = {{"version", newest->version},
                     {"offset", newest->offset},
@@ -147,13 +147,13 @@
                     {"services", newest->services.size()}}});
     const auto former = std::exchange(
         this->routes, std::make_shared<const RouteTable>(std::move(newest)));
-    this->customers.NoteReplaced(former.get(), *this->routes);
+    this->customers.OnConfigurationReplaced(former.get(), *this->routes);
     return true;
   }
 
-  template <typename News>
-  bool Apply(const News& news) {
-    const bool changed = this->catalog.Apply(news, this->Now());
+  template <typename Change>
+  bool Apply(const Change& change) {
+    const bool changed = this->catalog.Apply(change, this->Now());
     if (changed) {
       this->waiting.PlaceAll();
     }
@@ -167,14 +167,14 @@
   void NoteStoreBack() { this->catalog.NoteStoreBack(this->Now()); }
 
   void SetPeerLoad(const std::string& peer, const PeerLoad& load) {
-    this->book.SetPeer(peer, load, this->Now());
+    this->load_table.SetPeer(peer, load, this->Now());
     this->waiting.PlaceAll();
   }
 
   void SetPause(const EndpointPause& pause) {
     if (pause.reason == PauseReason::kUnreachable) {
-      if (this->health.NoteToldUnreachable(pause.endpoint_key, pause.left,
-                                           this->Now())) {
+      if (this->health.NoteReportedUnreachable(pause.endpoint_key, pause.left,
+                                               this->Now())) {
         this->NoteDoubt(pause);
       }
     } else {
@@ -190,7 +190,7 @@
   }
 
   std::optional<forecast::ForecastReport> NextForecast() {
-    auto next = this->services.upper_bound(this->last_told);
+    auto next = this->services.upper_bound(this->last_reported);
     if (next == this->services.end()) {
       next = this->services.begin();
     }
@@ -198,7 +198,7 @@
     for (std::size_t looked = 0; looked < this->services.size(); ++looked) {
       const auto& [service, state] = *next;
       if (state.forecast.HasObservations()) {
-        this->last_told = service;
+        this->last_reported = service;
         return forecast::ForecastReport{.service_key = KeyOf(service),
                                         .figures = state.forecast.Report(),
                                         .sizes = this->roles.SizesOf(service)};
@@ -211,25 +211,25 @@
   }
 
   void SetPeerForecast(const std::string& peer,
-                       const forecast::ForecastReport& told) {
+                       const forecast::ForecastReport& reported) {
     if (this->routes == nullptr) {
       return;
     }
     for (const ServiceTraits& traits : this->routes->configuration().services) {
-      if (KeyOf(traits.name) == told.service_key) {
-        this->StateOf(traits.name).forecast.Adopt(told.figures);
-        this->roles.NotePeer(traits.name, peer, told.sizes);
+      if (KeyOf(traits.name) == reported.service_key) {
+        this->StateOf(traits.name).forecast.Adopt(reported.figures);
+        this->roles.NotePeer(traits.name, peer, reported.sizes);
       }
     }
   }
 
-  void SetPeerCrash(const retry::CrashRecord& told) {
-    if (this->crashes.Merge(told, this->Now())) {
-      this->options.hooks.note(
+  void SetPeerCrash(const retry::CrashRecord& reported) {
+    if (this->crashes.Merge(reported, this->Now())) {
+      this->options.hooks.log(
           log::Level::kWarning, "request_quarantined",
-          {.fields = {{"request_key", HexText(told.request.value)},
-                      {"left_ms",
-                       this->crashes.TimeLeft(told.request, this->Now())}}});
+          {.fields = {{"request_key", HexText(reported.request.value)},
+                      {"left_ms", this->crashes.TimeLeft(reported.request,
+                                                         this->Now())}}});
     }
   }
 
@@ -244,13 +244,13 @@
   }
 
   void OnTimer() {
-    const Duration stood = this->alarms.Ring(this->Now());
-    if (stood > Duration::zero()) {
-      this->options.hooks.on_standstill(stood);
-      this->options.hooks.note(log::Level::kWarning, "stood_still",
-                               {.fields = {{"up_to_ms", stood},
-                                           {"under_way", this->relays.size()},
-                                           {"waiting", this->waiting.size()}}});
+    const Duration stall = this->timers.FireDue(this->Now());
+    if (stall > Duration::zero()) {
+      this->options.hooks.on_stall(stall);
+      this->options.hooks.log(log::Level::kWarning, "stood_still",
+                              {.fields = {{"up_to_ms", stall},
+                                          {"under_way", this->relays.size()},
+                                          {"waiting", this->waiting.size()}}});
     }
   }
 
@@ -260,10 +260,10 @@
   RandomSource& random;
   EndpointCatalog catalog;
   EndpointHealth health;
-  LoadBook book;
-  AlarmClock alarms;
+  LoadTable load_table;
+  TimerQueue timers;
   retry::CrashLedger crashes;
-  CustomerGate customers;
+  CustomerAdmission customers;
   StreamPlacement streams;
   CallPlacement calls;
   std::shared_ptr<const RouteTable> routes;
@@ -280,12 +280,13 @@
   // and the slowness of its former life: it looked full or ill for seconds, and
   // its streams' ends were taken off what was placed there since.
   void OnRestart(const EndpointRecord& started) {
-    this->book.Forget(started.id);
+    this->load_table.Forget(started.id);
     this->health.Forget(started.id);
-    this->options.hooks.note(log::Level::kInfo, "endpoint_restarted",
-                             {.endpoint = started.id,
-                              .fields = {{"service", started.service},
-                                         {"born_unix_ms", started.born}}});
+    this->options.hooks.log(
+        log::Level::kInfo, "endpoint_restarted",
+        {.endpoint = started.id,
+         .fields = {{"service", started.service},
+                    {"born_unix_ms", started.started_at_ms}}});
   }
 
   // Peers know an endpoint by a hash of its id; whoever reads the log does not.
@@ -293,7 +294,7 @@
     const EndpointRecord* const endpoint =
         this->catalog.FindByKey(pause.endpoint_key);
     if (endpoint != nullptr) {
-      this->options.hooks.note(
+      this->options.hooks.log(
           log::Level::kInfo, "endpoint_doubted",
           {.endpoint = endpoint->id, .fields = {{"left_ms", pause.left}}});
     }
@@ -358,8 +359,8 @@
                     this->routes ? this->routes->configuration().version : 0}}};
     std::move(refusal.cause.begin(), refusal.cause.end(),
               std::back_inserter(record.fields));
-    this->options.hooks.note(log::Level::kWarning, "request_refused",
-                             std::move(record));
+    this->options.hooks.log(log::Level::kWarning, "request_refused",
+                            std::move(record));
     if (this->options.hooks.on_refusal) {
       this->options.hooks.on_refusal(refusal.code, job.customer);
     }
@@ -368,7 +369,7 @@
 
   void Start(const std::shared_ptr<Relay>& relay) {
     this->relays.emplace(relay.get(), relay);
-    relay->Begin([this](Relay& over) { this->OnOver(over); });
+    relay->Begin([this](Relay& finished) { this->OnFinished(finished); });
   }
 
   void BeginCall(RelayJob job) {
@@ -376,7 +377,8 @@
         std::make_shared<CallRelay>(this->context, std::move(job));
     this->Start(relay);
     if (!relay->TryPlace()) {
-      const bool known = !this->catalog.Of(relay->job().service).empty();
+      const bool known =
+          !this->catalog.ForService(relay->job().service).empty();
       relay->Refuse(known ? ResultCode::kOverloaded : ResultCode::kNoEndpoint,
                     kRetryNoEndpoint);
     }
@@ -403,19 +405,19 @@
     Duration& longest = this->longest_deadlines[job.route->name];
     longest = std::max(longest, *job.request.deadline);
     job.spent = longest - *job.request.deadline;
-    job.returned = job.spent > job.route->objective &&
+    job.is_retry = job.spent > job.route->objective &&
                    Seconds(job.spent) > kPatienceSpread * Seconds(longest);
   }
 
-  void OnOver(Relay& over) {
-    this->waiting.Remove(over);
-    this->customers.NoteOver(over.job(), over.result(), this->Now());
-    this->relays.erase(&over);
+  void OnFinished(Relay& finished) {
+    this->waiting.Remove(finished);
+    this->customers.OnFinished(finished.job(), finished.result(), this->Now());
+    this->relays.erase(&finished);
   }
 
   void Sweep() {
     const Instant now = this->Now();
-    this->book.Sweep(now);
+    this->load_table.Sweep(now);
     this->health.Sweep(now);
     this->crashes.Sweep(now);
     this->customers.ledger().Sweep(now);
@@ -425,27 +427,27 @@
     for (auto& [service, state] : this->services) {
       this->NoteForecast(service, state);
     }
-    this->alarms.Set(now + kSweepInterval, [this] { this->Sweep(); });
+    this->timers.Set(now + kSweepInterval, [this] { this->Sweep(); });
   }
 
   // A line when what is believed of a service's engines has changed by more
   // than a quarter since the last one.
   void NoteForecast(const ServiceName& service, ServiceState& state) const {
     const forecast::ForecastDigest figures = state.forecast.Report();
-    if (!forecast::Differ(figures, state.forecast_noted, kNotedChange)) {
+    if (!forecast::Differ(figures, state.forecast_logged, kNotedChange)) {
       return;
     }
-    state.forecast_noted = figures;
+    state.forecast_logged = figures;
     std::vector<log::Field> fields{{"service", service}};
     for (const auto& [figure, name] : forecast::kFigureNames) {
-      const forecast::ReportedValue& told =
+      const forecast::ReportedValue& reported =
           figures[static_cast<std::size_t>(figure)];
-      if (told.observations > 0) {
-        fields.emplace_back(name, told.value);
+      if (reported.observations > 0) {
+        fields.emplace_back(name, reported.value);
       }
     }
-    this->options.hooks.note(log::Level::kInfo, "forecast_changed",
-                             {.fields = std::move(fields)});
+    this->options.hooks.log(log::Level::kInfo, "forecast_changed",
+                            {.fields = std::move(fields)});
   }
 
   static std::uint64_t KeyOf(const ServiceName& service) {
@@ -458,7 +460,7 @@
       static_cast<std::uint64_t>(this->Now().time_since_epoch().count()));
   std::uint64_t attempts = 0;
   std::map<std::string, Duration> longest_deadlines;  // by route
-  ServiceName last_told;  // of whose forecast peers heard last
+  ServiceName last_reported;  // of whose forecast peers heard last
 };
 
 GatewayCore::GatewayCore(Options core_options, RandomSource& random_source)
@@ -528,7 +530,7 @@
 }
 
 PeerLoad GatewayCore::OwnLoad() const {
-  return this->implementation->book.Own();
+  return this->implementation->load_table.Own();
 }
 
 std::optional<forecast::ForecastReport> GatewayCore::NextForecast() {
@@ -536,39 +538,41 @@
 }
 
 void GatewayCore::SetPeerForecast(const std::string& peer,
-                                  const forecast::ForecastReport& told) {
-  this->implementation->SetPeerForecast(peer, told);
+                                  const forecast::ForecastReport& reported) {
+  this->implementation->SetPeerForecast(peer, reported);
 }
 
-std::vector<retry::CrashRecord> GatewayCore::TellCrashes(
-    std::size_t most,
+std::vector<retry::CrashRecord> GatewayCore::CollectCrashReports(
+    std::size_t max_count,
     std::size_t round) const {
   return this->implementation->crashes.CollectReports(
-      most, round, this->implementation->Now());
+      max_count, round, this->implementation->Now());
 }
 
-void GatewayCore::TellCrashesAgain() {
+void GatewayCore::ResendCrashReports() {
   this->implementation->crashes.ResendReports(this->implementation->Now());
 }
 
-void GatewayCore::SetPeerCrash(const retry::CrashRecord& told) {
-  this->implementation->SetPeerCrash(told);
+void GatewayCore::SetPeerCrash(const retry::CrashRecord& reported) {
+  this->implementation->SetPeerCrash(reported);
 }
 
-std::vector<quota::QuotaUse> GatewayCore::TellQuotas(std::size_t group,
-                                                     std::size_t most) {
+std::vector<quota::QuotaUse> GatewayCore::CollectQuotaReports(
+    std::size_t group,
+    std::size_t max_count) {
   return this->implementation->customers.ledger().CollectReports(
-      group, most, this->implementation->Now());
+      group, max_count, this->implementation->Now());
 }
 
-void GatewayCore::NotePeerHeard(const std::string& peer,
-                                Incarnation incarnation,
-                                const std::vector<quota::QuotaUse>& told) {
-  this->implementation->customers.NotePeerHeard(peer, incarnation, told,
-                                                this->implementation->Now());
+void GatewayCore::OnPeerHeartbeat(
+    const std::string& peer,
+    Incarnation incarnation,
+    const std::vector<quota::QuotaUse>& reported) {
+  this->implementation->customers.OnPeerHeartbeat(peer, incarnation, reported,
+                                                  this->implementation->Now());
 }
 
-void GatewayCore::NotePeerListed(const std::string& peer) {
+void GatewayCore::OnPeerListed(const std::string& peer) {
   this->implementation->customers.ledger().OnPeerListed(
       peer, this->implementation->Now());
 }
@@ -582,7 +586,7 @@
 }
 
 Instant GatewayCore::next_timer() const {
-  return this->implementation->alarms.next();
+  return this->implementation->timers.next();
 }
 
 bool GatewayCore::Ready() const {
--- a/src/gateway/gateway_core.h
+++ b/src/gateway/gateway_core.h
@@ -85,30 +85,31 @@
   // Of one service after the other, one with each call; empty: of none yet.
   std::optional<forecast::ForecastReport> NextForecast();
   void SetPeerForecast(const std::string& peer,
-                       const forecast::ForecastReport& told);
+                       const forecast::ForecastReport& reported);
 
   // Requests under which endpoints ended: what the peers should hear of them
   // (CrashLedger::CollectReports), what a peer told, and that a peer knows
   // nothing yet.
-  std::vector<retry::CrashRecord> TellCrashes(std::size_t most,
-                                              std::size_t round) const;
-  void SetPeerCrash(const retry::CrashRecord& told);
-  void TellCrashesAgain();
+  std::vector<retry::CrashRecord> CollectCrashReports(std::size_t max_count,
+                                                      std::size_t round) const;
+  void SetPeerCrash(const retry::CrashRecord& reported);
+  void ResendCrashReports();
 
   // Customers' quotas: what the peers of a group should hear of what this
   // process took (quota::QuotaLedger::CollectReports); that a peer was heard,
   // with what it told; and that one is said to be there.
-  std::vector<quota::QuotaUse> TellQuotas(std::size_t group, std::size_t most);
-  void NotePeerHeard(const std::string& peer,
-                     Incarnation incarnation,
-                     const std::vector<quota::QuotaUse>& told);
-  void NotePeerListed(const std::string& peer);
+  std::vector<quota::QuotaUse> CollectQuotaReports(std::size_t group,
+                                                   std::size_t max_count);
+  void OnPeerHeartbeat(const std::string& peer,
+                       Incarnation incarnation,
+                       const std::vector<quota::QuotaUse>& reported);
+  void OnPeerListed(const std::string& peer);
 
   // New work is refused after a while, and answers close their connections.
   void BeginDrain();
 
   // Rings what is due. Call it at next_timer(). A call that comes much later
-  // tells of a standstill, as GatewayHooks::on_standstill does.
+  // tells of a standstill, as GatewayHooks::on_stall does.
   void OnTimer();
   Instant next_timer() const;
 
--- a/src/gateway/internal/call_relay.cc
+++ b/src/gateway/internal/call_relay.cc
@@ -15,15 +15,15 @@
 constexpr double kSilenceObjectives = 2.5;
 // Sends that did not run, after which a request is given up: each costs a
 // round trip, and a service that rejects three times is full.
-constexpr std::uint32_t kMostSends = 4;
+constexpr std::uint32_t kMaxSends = 4;
 // What a caller is told when the service has no room or no endpoint.
 constexpr Duration kRetrySoon = 300ms;
 
 }  // namespace
 
-const EndpointRecord* CallRelay::FindPlace(std::vector<EndpointId> avoided) {
+const EndpointRecord* CallRelay::FindEndpoint(std::vector<EndpointId> avoided) {
   avoided.insert(avoided.end(), this->tried.begin(), this->tried.end());
-  const auto endpoints = this->context.catalog.Of(this->work.service);
+  const auto endpoints = this->context.catalog.ForService(this->work.service);
   return this->context.calls.Pick({.domain = this->context.domain,
                                    .tried = std::move(avoided),
                                    .hold = this->work.state->forecast.Call(),
@@ -32,7 +32,7 @@
 }
 
 bool CallRelay::TryPlace() {
-  const EndpointRecord* const picked = this->FindPlace({});
+  const EndpointRecord* const picked = this->FindEndpoint({});
   if (picked == nullptr) {
     return false;
   }
@@ -43,12 +43,13 @@
 void CallRelay::Send(const EndpointRecord& chosen) {
   this->endpoint = chosen;
   this->load = {.requests = 1};
-  this->Note(log::Level::kInfo, "call_placed", chosen.id,
-             {{"at_endpoint", this->context.book.Of(chosen.id).requests},
-              {"failure_share", this->context.health.FailureShare(chosen.id)},
-              {"endpoints_as_of", this->context.catalog.complete_to()},
-              {"left_ms", this->TimeLeft()}});
-  this->context.book.Add(chosen.id, this->load, chosen.born);
+  this->Log(
+      log::Level::kInfo, "call_placed", chosen.id,
+      {{"at_endpoint", this->context.load_table.TotalAt(chosen.id).requests},
+       {"failure_share", this->context.health.FailureShare(chosen.id)},
+       {"endpoints_as_of", this->context.catalog.complete_to()},
+       {"left_ms", this->TimeLeft()}});
+  this->context.load_table.Add(chosen.id, this->load, chosen.started_at_ms);
   this->nature = AnswerNature::kUnproven;
   this->sent_at = this->Now();
   ++this->outcome.sends;
@@ -66,17 +67,18 @@
            [self](int answered, const http::Headers& head) {
              self->OnHead(answered, head);
            },
-       .on_end = [self](std::string body) { self->OnWhole(std::move(body)); },
+       .on_end =
+           [self](std::string body) { self->OnBodyComplete(std::move(body)); },
        .on_error = [self](const Error& error,
                           bool sent) { self->OnLost(error, sent); }});
-  this->WatchForSilence();
+  this->StartResponseTimer();
 }
 
-void CallRelay::WatchForSilence() {
+void CallRelay::StartResponseTimer() {
   if (this->MayRunAgain()) {
-    this->WatchPhase(
+    this->SetPhaseTimer(
         FromSeconds(kSilenceObjectives * Seconds(this->work.route->objective)),
-        [this] { this->OnSilent(); });
+        [this] { this->OnResponseTimeout(); });
   }
 }
 
@@ -87,24 +89,24 @@
       this->work.request, WorkStep::kWhole, answered, head);
 }
 
-void CallRelay::OnWhole(std::string body) {
+void CallRelay::OnBodyComplete(std::string body) {
   this->ForgetExchange();
   const EndpointId& id = this->endpoint.id;
   switch (this->nature) {
     case AnswerNature::kSuccess:
       this->context.health.NoteSuccess(id, this->Now());
-      if (!this->context.alarms.StoodStill(this->sent_at, this->Now())) {
+      if (!this->context.timers.StalledBetween(this->sent_at, this->Now())) {
         this->work.state->forecast.NoteCall(this->Now() - this->sent_at);
       }
-      this->PassOn(RelayEnd::kServed, this->status, this->headers,
-                   std::move(body));
+      this->ForwardAnswer(RelayEnd::kServed, this->status, this->headers,
+                          std::move(body));
       return;
     case AnswerNature::kNotRun:
       this->context.health.NoteFull(id, this->Now());
       this->AfterNotRun(ResultCode::kOverloaded);
       return;
     case AnswerNature::kMisplaced:
-      this->context.health.NoteSilence(id, this->Now());
+      this->context.health.NoteTimeout(id, this->Now());
       this->AfterNotRun(ResultCode::kNoEndpoint);
       return;
     case AnswerNature::kFailure:
@@ -117,8 +119,8 @@
           }
         }
       }
-      this->PassOn(RelayEnd::kFailed, this->status, this->headers,
-                   std::move(body));
+      this->ForwardAnswer(RelayEnd::kFailed, this->status, this->headers,
+                          std::move(body));
       return;
     case AnswerNature::kUnproven:
     case AnswerNature::kForeign:
@@ -131,12 +133,12 @@
 void CallRelay::OnLost(const Error& error, bool sent) {
   this->ForgetExchange();
   this->NoteLost(this->endpoint, sent, this->nature);
-  this->Note(log::Level::kWarning, "attempt_lost", this->endpoint.id,
-             {{"sent", sent},
-              {"after_ms", this->Now() - this->sent_at},
-              {"request_key", HexText(this->work.key.value)},
-              {"detail", error.detail}},
-             error.result_code());
+  this->Log(log::Level::kWarning, "attempt_lost", this->endpoint.id,
+            {{"sent", sent},
+             {"after_ms", this->Now() - this->sent_at},
+             {"request_key", HexText(this->work.key.value)},
+             {"detail", error.detail}},
+            error.result_code());
   if (!sent) {
     this->AfterNotRun(ResultCode::kNoEndpoint);
   } else {
@@ -144,21 +146,21 @@
   }
 }
 
-void CallRelay::OnSilent() {
+void CallRelay::OnResponseTimeout() {
   // Stopped with nowhere to go on it would be answered 502, though it may still
   // be answered where it is.
-  const EndpointRecord* const other = this->FindPlace({this->endpoint.id});
+  const EndpointRecord* const other = this->FindEndpoint({this->endpoint.id});
   const bool elsewhere = other != nullptr && other->id != this->endpoint.id;
   if (!elsewhere || !this->TakeRepeat()) {
-    this->WatchForSilence();
+    this->StartResponseTimer();
     return;
   }
-  this->context.health.NoteSilence(this->endpoint.id, this->Now());
+  this->context.health.NoteTimeout(this->endpoint.id, this->Now());
   this->context.hooks.drop_idle(this->endpoint.address);
-  this->Note(log::Level::kWarning, "attempt_silent", this->endpoint.id,
-             {{"after_ms", this->Now() - this->sent_at},
-              {"request_key", HexText(this->work.key.value)}},
-             ResultCode::kEndpointLost);
+  this->Log(log::Level::kWarning, "attempt_silent", this->endpoint.id,
+            {{"after_ms", this->Now() - this->sent_at},
+             {"request_key", HexText(this->work.key.value)}},
+            ResultCode::kEndpointLost);
   this->StopExchange();
   this->EndAttempt();
   if (!this->TryPlace()) {
@@ -169,31 +171,32 @@
 bool CallRelay::TakeRepeat() {
   const bool allowed = this->MayRunAgain() && !this->Quarantined() &&
                        this->runs < this->work.route->max_endpoints &&
-                       this->outcome.sends < kMostSends;
-  const bool others = this->context.catalog.Of(this->work.service).size() > 1;
+                       this->outcome.sends < kMaxSends;
+  const bool others =
+      this->context.catalog.ForService(this->work.service).size() > 1;
   return allowed && others &&
          this->work.state->budget.TryTake(this->Now(),
                                           this->context.processes());
 }
 
-void CallRelay::GiveLoadBack() {
+void CallRelay::ReleaseLoad() {
   if (!this->load.empty()) {
-    this->context.book.Remove(this->endpoint.id, this->load,
-                              this->endpoint.born);
+    this->context.load_table.Remove(this->endpoint.id, this->load,
+                                    this->endpoint.started_at_ms);
     this->load = {};
   }
 }
 
 void CallRelay::EndAttempt() {
-  this->EndPhase();
-  this->GiveLoadBack();
+  this->CancelPhaseTimer();
+  this->ReleaseLoad();
   this->tried.push_back(this->endpoint.id);
 }
 
 void CallRelay::AfterNotRun(ResultCode code) {
   this->EndAttempt();
   --this->runs;
-  const bool again = !this->Quarantined() && this->outcome.sends < kMostSends &&
+  const bool again = !this->Quarantined() && this->outcome.sends < kMaxSends &&
                      this->work.state->budget.TryTake(
                          this->Now(), this->context.processes()) &&
                      this->TryPlace();
@@ -221,13 +224,13 @@
     this->Refuse(ResultCode::kDeadlineUnreachable, kRetrySoon);
     return;
   }
-  this->context.health.NoteSilence(this->endpoint.id, this->Now());
+  this->context.health.NoteTimeout(this->endpoint.id, this->Now());
   this->context.hooks.drop_idle(this->endpoint.address);
   this->Refuse(ResultCode::kDeadlineExceeded, {});
 }
 
 void CallRelay::Release() {
-  this->GiveLoadBack();
+  this->ReleaseLoad();
 }
 
 }  // namespace acacialug::gateway
--- a/src/gateway/internal/call_relay.h
+++ b/src/gateway/internal/call_relay.h
@@ -21,13 +21,13 @@
 
  private:
   // Null: every endpoint is full. Those avoided or tried come last.
-  const EndpointRecord* FindPlace(std::vector<EndpointId> avoided);
+  const EndpointRecord* FindEndpoint(std::vector<EndpointId> avoided);
   void Send(const EndpointRecord& endpoint);
   void OnHead(int status, const http::Headers& headers);
-  void OnWhole(std::string body);
+  void OnBodyComplete(std::string body);
   void OnLost(const Error& error, bool sent);
-  void WatchForSilence();
-  void OnSilent();
+  void StartResponseTimer();
+  void OnResponseTimeout();
   // The attempt is over and did not run.
   void AfterNotRun(ResultCode code);
   // The attempt may have run, or has run and failed, and is given up.
@@ -35,7 +35,7 @@
   // True when it may run again at another endpoint; takes that from the budget.
   bool TakeRepeat();
   void EndAttempt();
-  void GiveLoadBack();
+  void ReleaseLoad();
 
   EndpointRecord endpoint;
   EndpointLoad load;  // empty: no attempt is under way
--- a/src/gateway/internal/candidates.cc
+++ b/src/gateway/internal/candidates.cc
@@ -9,15 +9,15 @@
 namespace acacialug::gateway {
 namespace {
 
-constexpr Duration kLeastHold = 1ms;
+constexpr Duration kMinHold = 1ms;
 
 }  // namespace
 
-PlacementNews PlacementNews::Of(const LoadBook& book,
-                                Duration hold,
-                                Instant now) {
-  return {.near_age = book.NewsAge(LoadBook::Nearness::kNear, now),
-          .far_age = book.NewsAge(LoadBook::Nearness::kFar, now),
+LoadStaleness LoadStaleness::Measure(const LoadTable& load_table,
+                                     Duration hold,
+                                     Instant now) {
+  return {.near_age = load_table.ReportAge(LoadTable::Nearness::kNear, now),
+          .far_age = load_table.ReportAge(LoadTable::Nearness::kFar, now),
           .hold = hold};
 }
 
@@ -50,8 +50,9 @@
                                             RandomSource& random) const {
   // As much is placed as ends, and each piece is there for `hold`: what is
   // placed meanwhile follows by Little's law.
-  const double lives = Seconds(age) / Seconds(std::max(hold, kLeastHold));
-  const auto at = ChooseByLevel(this->loads, this->placed * lives, random);
+  const double age_in_holds = Seconds(age) / Seconds(std::max(hold, kMinHold));
+  const auto at =
+      ChooseByLevel(this->loads, this->placed * age_in_holds, random);
   if (!at) {
     return {};
   }
@@ -60,18 +61,19 @@
       static_cast<double>(this->loads.size());
   // What was there has ended by this share, and others have the same chance of
   // what came since.
-  const double still_there = std::exp(-lives);
+  const double still_there = std::exp(-age_in_holds);
   return {.endpoint = this->endpoints[*at],
           .rank = this->best,
           .load = mean + (this->loads[*at] - mean) * still_there};
 }
 
-Candidates::Choice Candidates::Choose(const PlacementNews& news,
+Candidates::Choice Candidates::Choose(const LoadStaleness& staleness,
                                       double distance,
                                       RandomSource& random) const {
   const Choice near_choice =
-      this->near.Choose(news.near_age, news.hold, random);
-  const Choice far_choice = this->far.Choose(news.far_age, news.hold, random);
+      this->near.Choose(staleness.near_age, staleness.hold, random);
+  const Choice far_choice =
+      this->far.Choose(staleness.far_age, staleness.hold, random);
   if (near_choice.endpoint == nullptr || far_choice.endpoint == nullptr) {
     return near_choice.endpoint == nullptr ? far_choice : near_choice;
   }
--- a/src/gateway/internal/candidates.h
+++ b/src/gateway/internal/candidates.h
@@ -6,27 +6,29 @@
 #include "framework/global/random_source.h"
 #include "framework/global/types/identifiers.h"
 #include "framework/global/types/instant.h"
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 #include "gateway/types/endpoint_record.h"
 
 namespace acacialug::gateway {
 
 // Endpoints of a better rank are chosen whatever their load.
 enum class CandidateRank {
-  kSound,
-  kHeldUp,   // a prompt is computed there that holds its streams up for longer
-             // than their callers allow
-  kAvoided,  // silent, failing, or full a moment ago
-  kTried,    // for the same request
+  kHealthy,
+  kPrefillBusy,  // a prompt is computed there that holds its streams up for
+                 // longer than their callers allow
+  kAvoided,      // silent, failing, or full a moment ago
+  kTried,        // for the same request
 };
 
 // What is known of work that was placed and not yet told.
-struct PlacementNews {
+struct LoadStaleness {
   Duration near_age{};  // of news from one's own failure domain
   Duration far_age{};   // and from the others
   Duration hold{};      // for how long a piece of work is at its endpoint
 
-  static PlacementNews Of(const LoadBook& book, Duration hold, Instant now);
+  static LoadStaleness Measure(const LoadTable& load_table,
+                               Duration hold,
+                               Instant now);
 };
 
 // The endpoints that one piece of work may be placed at. Those of one's own
@@ -37,7 +39,7 @@
  public:
   struct Choice {
     const EndpointRecord* endpoint = nullptr;  // null: there was none
-    CandidateRank rank = CandidateRank::kSound;
+    CandidateRank rank = CandidateRank::kHealthy;
     double load = 0;  // as expected by now
   };
 
@@ -52,14 +54,14 @@
 
   // One of the own domain, unless one of another is expected to be less loaded
   // by more than `distance`, or has a better rank.
-  Choice Choose(const PlacementNews& news,
+  Choice Choose(const LoadStaleness& staleness,
                 double distance,
                 RandomSource& random) const;
 
  private:
   // Of some failure domains, those of the best rank seen.
   struct Side {
-    CandidateRank best = CandidateRank::kSound;
+    CandidateRank best = CandidateRank::kHealthy;
     std::vector<const EndpointRecord*> endpoints;
     std::vector<double> loads;
     double placed = 0;
--- a/src/gateway/internal/customer_gate.cc
+++ b/src/gateway/internal/customer_admission.cc
@@ -1,4 +1,4 @@
-#include "gateway/internal/customer_gate.h"
+#include "gateway/internal/customer_admission.h"
 
 #include <utility>
 
@@ -9,7 +9,7 @@
 namespace {
 
 // Only to tell a dropped key from one that never was, in the log.
-constexpr std::size_t kMostDropped = 4096;
+constexpr std::size_t kMaxDropped = 4096;
 
 double AmountOf(const WorkRequest& request, const CustomerLimit& limit) {
   if (limit.unit == LimitUnit::kRequests) {
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-CustomerGate::CustomerGate(Options gate_options)
-    : options(std::move(gate_options)),
+CustomerAdmission::CustomerAdmission(Options admission_options)
+    : options(std::move(admission_options)),
       quotas({.quota_of =
                   [this](quota::CustomerKey customer) {
                     const RouteTable* const routes = this->options.routes();
@@ -47,9 +47,9 @@
                                               .burst = limit->burst};
                   },
               .tolerance = this->options.tolerance,
-              .shares = {.heartbeat_timeout = SilenceOf}}) {}
+              .shares = {.heartbeat_timeout = HeartbeatTimeout}}) {}
 
-CustomerGate::Verdict CustomerGate::Identify(RelayJob& job) const {
+CustomerAdmission::Decision CustomerAdmission::Identify(RelayJob& job) const {
   job.priority = job.route->priority;
   if (!job.routes->configuration().customers) {
     return {};
@@ -64,7 +64,7 @@
   if (job.route->open_to_all) {
     return {};
   }
-  Verdict refused{.code = ResultCode::kUnknownCaller};
+  Decision refused{.code = ResultCode::kUnknownCaller};
   const auto held = key ? this->dropped.find(*key) : this->dropped.end();
   if (held != this->dropped.end()) {
     refused.cause = {{"key", "dropped"}, {"dropped_by", held->second}};
@@ -74,7 +74,8 @@
   return refused;
 }
 
-CustomerGate::Verdict CustomerGate::Take(RelayJob& job, Instant now) {
+CustomerAdmission::Decision CustomerAdmission::Take(RelayJob& job,
+                                                    Instant now) {
   if (job.customer == nullptr || job.customer->limit.per_second <= 0) {
     return {};
   }
@@ -96,36 +97,37 @@
                     {"retry_after_ms", verdict.retry_after}}};
 }
 
-void CustomerGate::NoteOver(const RelayJob& job,
-                            const RelayOutcome& outcome,
-                            Instant now) {
+void CustomerAdmission::OnFinished(const RelayJob& job,
+                                   const RelayOutcome& outcome,
+                                   Instant now) {
   if (job.quota_taken > 0 && RanNowhere(outcome)) {
     this->quotas.Refund(KeyOf(job.customer->name), job.quota_taken, now);
   }
 }
 
-void CustomerGate::NotePeerHeard(const std::string& peer,
-                                 Incarnation incarnation,
-                                 const std::vector<quota::QuotaUse>& told,
-                                 Instant now) {
+void CustomerAdmission::OnPeerHeartbeat(
+    const std::string& peer,
+    Incarnation incarnation,
+    const std::vector<quota::QuotaUse>& reported,
+    Instant now) {
   const RouteTable* const routes = this->options.routes();
   if (routes != nullptr && routes->configuration().customers) {
-    this->quotas.OnPeerReport(peer, incarnation, told, now);
+    this->quotas.OnPeerReport(peer, incarnation, reported, now);
   }
 }
 
-void CustomerGate::NoteReplaced(const RouteTable* former,
-                                const RouteTable& newest) {
+void CustomerAdmission::OnConfigurationReplaced(const RouteTable* former,
+                                                const RouteTable& newest) {
   if (former == nullptr || !former->configuration().customers) {
     return;
   }
-  if (this->dropped.size() >= kMostDropped) {
+  if (this->dropped.size() >= kMaxDropped) {
     this->dropped.clear();
   }
   for (const Customer& customer : *former->configuration().customers) {
     for (const KeyDigest& key : customer.keys) {
       if (newest.FindCustomer(key) == nullptr &&
-          this->dropped.size() < kMostDropped) {
+          this->dropped.size() < kMaxDropped) {
         this->dropped[key] = newest.configuration().version;
       }
     }
--- a/src/gateway/internal/customer_gate.h
+++ b/src/gateway/internal/customer_admission.h
@@ -1,5 +1,5 @@
-#ifndef GATEWAY_INTERNAL_CUSTOMER_GATE_H_
-#define GATEWAY_INTERNAL_CUSTOMER_GATE_H_
+#ifndef GATEWAY_INTERNAL_CUSTOMER_ADMISSION_H_
+#define GATEWAY_INTERNAL_CUSTOMER_ADMISSION_H_
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +18,7 @@
 // callers with keys that were dropped or never were, and customers that ask for
 // more than their limit, before anything is queued, placed or counted. Not
 // thread safe.
-class CustomerGate {
+class CustomerAdmission {
  public:
   struct Options {
     quota::Tolerance tolerance;
@@ -26,10 +26,10 @@
     std::function<const RouteTable*()> routes;
   };
 
-  explicit CustomerGate(Options gate_options);
+  explicit CustomerAdmission(Options admission_options);
 
   // What is told of a refusal, beside its code.
-  struct Verdict {
+  struct Decision {
     ResultCode code = ResultCode::kOk;
     Duration retry_after{};
     std::vector<log::Field> cause;
@@ -37,23 +37,26 @@
 
   // Fills in the job's customer and priority. Precondition: it has a route.
   // kUnknownCaller: the route needs a key that is held, and it shows none.
-  Verdict Identify(RelayJob& job) const;
+  Decision Identify(RelayJob& job) const;
 
   // Takes the request from its customer's quota, or kCallerOverLimit.
   // Precondition: Identify.
-  Verdict Take(RelayJob& job, Instant now);
+  Decision Take(RelayJob& job, Instant now);
   // A request that was taken is over; one that did not run gives it back.
-  void NoteOver(const RelayJob& job, const RelayOutcome& outcome, Instant now);
+  void OnFinished(const RelayJob& job,
+                  const RelayOutcome& outcome,
+                  Instant now);
 
   // Another configuration takes the place of the one in force; null: of none.
-  void NoteReplaced(const RouteTable* former, const RouteTable& newest);
+  void OnConfigurationReplaced(const RouteTable* former,
+                               const RouteTable& newest);
 
   // As of quota::QuotaLedger; passed over without customers, since there is
   // nothing to share.
-  void NotePeerHeard(const std::string& peer,
-                     Incarnation incarnation,
-                     const std::vector<quota::QuotaUse>& told,
-                     Instant now);
+  void OnPeerHeartbeat(const std::string& peer,
+                       Incarnation incarnation,
+                       const std::vector<quota::QuotaUse>& reported,
+                       Instant now);
 
   quota::QuotaLedger& ledger() { return this->quotas; }
 
@@ -66,4 +69,4 @@
 
 }  // namespace acacialug::gateway
 
-#endif  // GATEWAY_INTERNAL_CUSTOMER_GATE_H_
+#endif  // GATEWAY_INTERNAL_CUSTOMER_ADMISSION_H_
--- a/src/gateway/internal/relay.cc
+++ b/src/gateway/internal/relay.cc
@@ -12,8 +12,9 @@
 
 // A start of an endpoint, the same at every process.
 std::uint64_t StartKeyOf(const EndpointRecord& endpoint) {
-  return placement::RendezvousWeight(LoadBook::KeyOf(endpoint.id),
-                                     static_cast<std::uint64_t>(endpoint.born));
+  return placement::RendezvousWeight(
+      LoadTable::KeyOf(endpoint.id),
+      static_cast<std::uint64_t>(endpoint.started_at_ms));
 }
 
 }  // namespace
@@ -26,17 +27,17 @@
                         this->work.request.deadline.value_or(
                             this->work.route->timeout))) {}
 
-void Relay::Begin(std::function<void(Relay&)> on_over) {
-  this->over_hook = std::move(on_over);
+void Relay::Begin(std::function<void(Relay&)> on_finished) {
+  this->finished_hook = std::move(on_finished);
   // Not shared: the responder is this relay's own, and would keep it for ever.
   this->work.responder->SetOnGone([weak = this->weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->OnCallerGone();
     }
   });
-  this->deadline_alarm = this->context.alarms.Set(
+  this->deadline_timer = this->context.timers.Set(
       this->deadline, [self = this->shared_from_this()] {
-        if (!self->is_over) {
+        if (!self->is_finished) {
           self->OnDeadline();
         }
       });
@@ -75,15 +76,15 @@
           this->work.key,
           {.endpoint = StartKeyOf(endpoint), .attempt = this->work.attempt},
           this->Now())) {
-    this->Note(log::Level::kWarning, "request_quarantined", endpoint.id,
-               {{"request_key", HexText(this->work.key.value)},
-                {"left_ms",
-                 this->context.crashes.TimeLeft(this->work.key, this->Now())}});
-    this->KeepQuarantine();
+    this->Log(log::Level::kWarning, "request_quarantined", endpoint.id,
+              {{"request_key", HexText(this->work.key.value)},
+               {"left_ms",
+                this->context.crashes.TimeLeft(this->work.key, this->Now())}});
+    this->StoreQuarantine();
   }
 }
 
-void Relay::KeepQuarantine() const {
+void Relay::StoreQuarantine() const {
   if (this->context.hooks.on_quarantine) {
     this->context.hooks.on_quarantine(
         this->context.crashes.RecordOf(this->work.key, this->Now()));
@@ -100,24 +101,24 @@
   }
 }
 
-void Relay::WatchPhase(Duration after, std::function<void()> on_late) {
-  this->EndPhase();
-  this->phase_alarm = this->context.alarms.SetSilence(
+void Relay::SetPhaseTimer(Duration after, std::function<void()> on_timeout) {
+  this->CancelPhaseTimer();
+  this->phase_timer = this->context.timers.SetResponseTimer(
       this->Now(), after,
-      [self = this->shared_from_this(), late = std::move(on_late)] {
-        self->phase_alarm = 0;
-        if (!self->is_over) {
+      [self = this->shared_from_this(), late = std::move(on_timeout)] {
+        self->phase_timer = 0;
+        if (!self->is_finished) {
           late();
         }
       });
 }
 
-void Relay::EndPhase() {
-  this->context.alarms.Cancel(std::exchange(this->phase_alarm, 0));
+void Relay::CancelPhaseTimer() {
+  this->context.timers.Cancel(std::exchange(this->phase_timer, 0));
 }
 
 void Relay::OnCallerGone() {
-  if (!this->is_over) {
+  if (!this->is_finished) {
     this->Finish(RelayEnd::kCallerGone, ResultCode::kCancelled, 0);
   }
 }
@@ -130,10 +131,10 @@
                answer.status);
 }
 
-void Relay::PassOn(RelayEnd end,
-                   int status,
-                   const http::Headers& headers,
-                   std::string body) {
+void Relay::ForwardAnswer(RelayEnd end,
+                          int status,
+                          const http::Headers& headers,
+                          std::string body) {
   this->outcome.first_byte = this->Age();
   this->work.responder->SendWhole({.status = status,
                                    .headers = this->CallerHeaders(headers),
@@ -156,13 +157,13 @@
 }
 
 void Relay::Finish(RelayEnd end, ResultCode code, int status) {
-  if (this->is_over) {
+  if (this->is_finished) {
     return;
   }
-  this->is_over = true;
+  this->is_finished = true;
   this->StopExchange();
-  this->EndPhase();
-  this->context.alarms.Cancel(this->deadline_alarm);
+  this->CancelPhaseTimer();
+  this->context.timers.Cancel(this->deadline_timer);
   this->work.responder->SetOnGone({});
   this->work.responder->SetOnDrained({});
   this->outcome.end = end;
@@ -171,50 +172,50 @@
   this->outcome.whole = this->Age();
   if (end == RelayEnd::kServed &&
       this->context.crashes.NoteAnswer(this->work.key, this->Now())) {
-    this->KeepQuarantine();
+    this->StoreQuarantine();
   }
   this->Release();
   const bool good = end == RelayEnd::kServed || end == RelayEnd::kCallerGone;
-  this->Note(good ? log::Level::kInfo : log::Level::kWarning, "request_ended",
-             {},
-             {{"end", NameOf(kRelayEndNames, end)},
-              {"status", status},
-              {"route", this->work.route->name},
-              {"kind", NameOf(kWorkKindNames, this->work.route->kind)},
-              {"request_key", HexText(this->work.key.value)},
-              {"customer", this->work.request.customer.text},
-              {"quota_taken", this->work.quota_taken},
-              {"configuration", this->work.routes->configuration().version},
-              {"waited_ms", this->outcome.waited},
-              {"first_byte_ms", this->outcome.first_byte},
-              {"whole_ms", this->outcome.whole},
-              {"longest_pause_ms", this->outcome.longest_pause},
-              {"spent_before_ms", this->work.spent},
-              {"sends", this->outcome.sends},
-              {"prefills", this->outcome.prefills},
-              {"events", this->outcome.events},
-              {"losses", this->outcome.losses}},
-             code);
+  this->Log(good ? log::Level::kInfo : log::Level::kWarning, "request_ended",
+            {},
+            {{"end", NameOf(kRelayEndNames, end)},
+             {"status", status},
+             {"route", this->work.route->name},
+             {"kind", NameOf(kWorkKindNames, this->work.route->kind)},
+             {"request_key", HexText(this->work.key.value)},
+             {"customer", this->work.request.customer.text},
+             {"quota_taken", this->work.quota_taken},
+             {"configuration", this->work.routes->configuration().version},
+             {"waited_ms", this->outcome.waited},
+             {"first_byte_ms", this->outcome.first_byte},
+             {"whole_ms", this->outcome.whole},
+             {"longest_pause_ms", this->outcome.longest_pause},
+             {"spent_before_ms", this->work.spent},
+             {"sends", this->outcome.sends},
+             {"prefills", this->outcome.prefills},
+             {"events", this->outcome.events},
+             {"losses", this->outcome.losses}},
+            code);
   this->context.hooks.on_end(*this->work.route, this->outcome);
   const std::shared_ptr<Relay> self = this->shared_from_this();
-  if (const auto hook = std::exchange(this->over_hook, nullptr)) {
+  if (const auto hook = std::exchange(this->finished_hook, nullptr)) {
     hook(*this);
   }
   this->work.responder.reset();
 }
 
-void Relay::Note(log::Level level,
-                 std::string_view event,
-                 const EndpointId& endpoint,
-                 std::vector<log::Field> fields,
-                 ResultCode code) const {
+void Relay::Log(log::Level level,
+                std::string_view event,
+                const EndpointId& endpoint,
+                std::vector<log::Field> fields,
+                ResultCode code) const {
   log::Record record{.request_name = this->work.request.id,
                      .endpoint = endpoint,
                      .fields = std::move(fields)};
   if (code != ResultCode::kOk) {
     record.code = code;
   }
-  this->context.hooks.note(level, event, std::move(record));
+  this->context.hooks.log(level, event, std::move(record));
 }
 
 }  // namespace acacialug::gateway
--- a/src/gateway/internal/relay.h
+++ b/src/gateway/internal/relay.h
@@ -12,7 +12,7 @@
 
 // What relays of every kind have in common: a request, its deadline, at most
 // one exchange with an endpoint, and one final answer. Keeps itself alive by
-// the hooks that it waits on; `on_over` runs once, at its end.
+// the hooks that it waits on; `on_finished` runs once, at its end.
 class Relay : public std::enable_shared_from_this<Relay> {
  public:
   Relay(RelayContext& relay_context, RelayJob relay_job);
@@ -21,7 +21,7 @@
   Relay& operator=(const Relay&) = delete;
 
   // Watches the caller and the deadline. Call it once, first.
-  void Begin(std::function<void(Relay&)> on_over);
+  void Begin(std::function<void(Relay&)> on_finished);
 
   // Tries to go on; false: there is no place now, and nothing was sent.
   virtual bool TryPlace() = 0;
@@ -32,7 +32,7 @@
 
   const RelayJob& job() const { return this->work; }
   const RelayOutcome& result() const { return this->outcome; }
-  bool over() const { return this->is_over; }
+  bool finished() const { return this->is_finished; }
   Duration Age() const;
   // Until its caller, or its route, gives up.
   Duration TimeLeft() const;
@@ -58,30 +58,30 @@
   // none. Looked at before each sending: peers tell at any time.
   bool Quarantined() const;
   // Its quarantine began, or ended.
-  void KeepQuarantine() const;
+  void StoreQuarantine() const;
   // Ends the exchange under way; its hooks stay silent.
   void StopExchange();
   void ForgetExchange() { this->exchange = 0; }
 
   // Rings once; a later call replaces an earlier one.
-  void WatchPhase(Duration after, std::function<void()> on_late);
-  void EndPhase();
+  void SetPhaseTimer(Duration after, std::function<void()> on_timeout);
+  void CancelPhaseTimer();
 
   void Finish(RelayEnd end, ResultCode code, int status);
   // Passes an endpoint's whole answer on, and ends.
-  void PassOn(RelayEnd end,
-              int status,
-              const http::Headers& headers,
-              std::string body);
+  void ForwardAnswer(RelayEnd end,
+                     int status,
+                     const http::Headers& headers,
+                     std::string body);
   // The headers of an endpoint's answer that its caller gets.
   http::Headers CallerHeaders(const http::Headers& headers) const;
 
   // A line of the log about this request.
-  void Note(log::Level level,
-            std::string_view event,
-            const EndpointId& endpoint,
-            std::vector<log::Field> fields,
-            ResultCode code = ResultCode::kOk) const;
+  void Log(log::Level level,
+           std::string_view event,
+           const EndpointId& endpoint,
+           std::vector<log::Field> fields,
+           ResultCode code = ResultCode::kOk) const;
 
   RelayContext& context;
   RelayJob work;
@@ -91,12 +91,12 @@
  private:
   void OnCallerGone();
 
-  std::function<void(Relay&)> over_hook;
+  std::function<void(Relay&)> finished_hook;
   http::Client::ExchangeId exchange = 0;
-  AlarmId deadline_alarm = 0;
-  AlarmId phase_alarm = 0;
+  TimerId deadline_timer = 0;
+  TimerId phase_timer = 0;
   Instant deadline;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/internal/relay_context.h
+++ b/src/gateway/internal/relay_context.h
@@ -12,8 +12,8 @@
 #include "gateway/call_placement.h"
 #include "gateway/endpoint_catalog.h"
 #include "gateway/endpoint_health.h"
-#include "gateway/internal/alarm_clock.h"
-#include "gateway/load_book.h"
+#include "gateway/internal/timer_queue.h"
+#include "gateway/load_table.h"
 #include "gateway/repeat_budget.h"
 #include "gateway/route_table.h"
 #include "gateway/stream_placement.h"
@@ -28,7 +28,7 @@
   AdmissionQueue queue;
   RepeatBudget budget;
   forecast::ServiceForecast forecast;
-  forecast::ForecastDigest forecast_noted{};  // in the last line of the log
+  forecast::ForecastDigest forecast_logged{};  // in the last line of the log
 };
 
 // What all relays of a core share.
@@ -38,10 +38,10 @@
   FailureDomain domain;
   EndpointCatalog& catalog;
   EndpointHealth& health;
-  LoadBook& book;
+  LoadTable& load_table;
   const StreamPlacement& streams;
   const CallPlacement& calls;
-  AlarmClock& alarms;
+  TimerQueue& timers;
   retry::CrashLedger& crashes;
   RandomSource& random;
   // Processes that share the repeat budget, this one included.
@@ -51,7 +51,7 @@
   // A generation found no place, or lost it, with nothing under way.
   std::function<void(class StreamRelay& relay)> on_unplaced;
   // Decode memory was given back: somebody who waits may have it.
-  std::function<void(const ServiceName& service)> on_room;
+  std::function<void(const ServiceName& service)> on_capacity_freed;
 };
 
 // One request on its way.
@@ -74,7 +74,7 @@
   // tries, or the caller is less patient.
   Duration spent{};
   // So much less that it must have been refused before.
-  bool returned = false;
+  bool is_retry = false;
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/internal/reservation_ask.cc
+++ b/src/gateway/internal/reservation_request.cc
@@ -1,4 +1,4 @@
-#include "gateway/internal/reservation_ask.h"
+#include "gateway/internal/reservation_request.h"
 
 #include <algorithm>
 
@@ -16,22 +16,22 @@
 
 }  // namespace
 
-ReservationAsk::ReservationAsk(RelayContext& relay_context,
-                               StreamPlacement::Place asked)
-    : context(relay_context), asked_place(std::move(asked)) {}
+ReservationRequest::ReservationRequest(RelayContext& relay_context,
+                                       StreamPlacement::Placement asked)
+    : context(relay_context), requested_placement(std::move(asked)) {}
 
-void ReservationAsk::Begin(Done on_done) {
+void ReservationRequest::Begin(Done on_done) {
   this->done = std::move(on_done);
   this->begun_at = this->Now();
   const Duration lifetime =
-      std::min(kLongest, 2 * this->asked_place.prefill_time + kSlack);
+      std::min(kLongest, 2 * this->requested_placement.prefill_time + kSlack);
   auto self = this->shared_from_this();
   auto answered = std::make_shared<int>(0);
   this->exchange = this->context.hooks.send(
-      this->asked_place.decode.address,
+      this->requested_placement.decode.address,
       this->context.dialect.write_reserve(
-          this->asked_place.decode, this->asked_place.decode_load.kv_tokens,
-          lifetime),
+          this->requested_placement.decode,
+          this->requested_placement.decode_load.kv_tokens, lifetime),
       {.on_head = [answered](int status,
                              const http::Headers&) { *answered = status; },
        .on_end =
@@ -39,51 +39,52 @@
              self->OnAnswer(*answered, body);
            },
        .on_error = [self](const Error&, bool sent) { self->OnLost(sent); }});
-  this->alarm = this->context.alarms.SetSilence(this->begun_at, kPatience,
-                                                [self] { self->OnSilent(); });
+  this->timer = this->context.timers.SetResponseTimer(
+      this->begun_at, kPatience, [self] { self->OnResponseTimeout(); });
 }
 
-void ReservationAsk::Cancel() {
+void ReservationRequest::Cancel() {
   this->done = nullptr;
-  this->context.alarms.Cancel(std::exchange(this->alarm, 0));
+  this->context.timers.Cancel(std::exchange(this->timer, 0));
   if (this->exchange != 0) {
     this->context.hooks.cancel(std::exchange(this->exchange, 0));
   }
 }
 
-void ReservationAsk::OnAnswer(int status, std::string_view body) {
+void ReservationRequest::OnAnswer(int status, std::string_view body) {
   this->exchange = 0;
-  const EndpointId& id = this->asked_place.decode.id;
+  const EndpointId& id = this->requested_placement.decode.id;
   this->context.health.NoteAnswer(id, this->Now());
   const auto name = this->context.dialect.read_reservation(status, body);
   if (name) {
-    this->context.health.NoteRoom(id);
+    this->context.health.NoteCapacity(id);
     this->End(ReservationAnswer::kGranted, *name);
-  } else if (this->asked_place.decode_fill < kFarFromFull) {
-    this->context.health.NoteUnwilling(
-        id, this->context.book.OldestNews(this->Now()), this->Now());
-    this->End(ReservationAnswer::kUnwilling);
+  } else if (this->requested_placement.decode_fill < kFarFromFull) {
+    this->context.health.NoteUnexpectedRefusal(
+        id, this->context.load_table.OldestReportAge(this->Now()), this->Now());
+    this->End(ReservationAnswer::kUnexpectedRefusal);
   } else {
     this->context.health.NoteFull(id, this->Now());
     this->End(ReservationAnswer::kFull);
   }
 }
 
-void ReservationAsk::OnLost(bool sent) {
+void ReservationRequest::OnLost(bool sent) {
   this->exchange = 0;
-  this->context.health.NoteLost(this->asked_place.decode.id, sent, this->Now());
+  this->context.health.NoteLost(this->requested_placement.decode.id, sent,
+                                this->Now());
   this->End(ReservationAnswer::kLost);
 }
 
-void ReservationAsk::OnSilent() {
-  this->alarm = 0;
-  this->context.health.NoteUnreachable(this->asked_place.decode.id,
+void ReservationRequest::OnResponseTimeout() {
+  this->timer = 0;
+  this->context.health.NoteUnreachable(this->requested_placement.decode.id,
                                        this->Now());
-  this->context.hooks.drop_idle(this->asked_place.decode.address);
-  this->End(ReservationAnswer::kSilent);
+  this->context.hooks.drop_idle(this->requested_placement.decode.address);
+  this->End(ReservationAnswer::kTimedOut);
 }
 
-void ReservationAsk::End(ReservationAnswer answer, std::string name) {
+void ReservationRequest::End(ReservationAnswer answer, std::string name) {
   const Done hook = std::move(this->done);
   this->Cancel();
   if (hook) {
--- a/src/gateway/internal/role_orders.cc
+++ b/src/gateway/internal/role_orders.cc
@@ -11,7 +11,7 @@
 // From the decision to switch an endpoint to the order: peers hear meanwhile
 // that it takes no work. Else each of them finds out by a refusal, and those
 // use up the repeat budget.
-constexpr Duration kPauseSpreads = 200ms;
+constexpr Duration kPauseSpreadTime = 200ms;
 
 }  // namespace
 
@@ -19,13 +19,13 @@
     : options(std::move(order_options)), context(relay_context) {}
 
 void RoleOrders::Start() {
-  this->context.alarms.Set(this->Now() + kInterval, [this] { this->Look(); });
+  this->context.timers.Set(this->Now() + kInterval, [this] { this->Poll(); });
 }
 
-void RoleOrders::Look() {
+void RoleOrders::Poll() {
   this->Start();
   this->WatchSwitches();
-  this->ClaimIfNeeded();
+  this->AcquireTermIfNeeded();
 }
 
 void RoleOrders::ForEachPlanner(
@@ -48,8 +48,8 @@
   this->ForEachPlanner([this](const ServiceName& service,
                               const EngineTraits& engine,
                               RolePlanner& planner) {
-    planner.Watch(engine, this->context.catalog.Of(service), this->context.book,
-                  this->Now());
+    planner.Watch(engine, this->context.catalog.ForService(service),
+                  this->context.load_table, this->Now());
   });
   this->PauseSwitching();
 }
@@ -84,7 +84,7 @@
 }
 
 void RoleOrders::SetFirst(bool first) {
-  this->turn.SetFirst(first, this->Now());
+  this->leader_term.SetFirst(first, this->Now());
 }
 
 std::vector<EndpointPause> RoleOrders::Pauses() const {
@@ -96,15 +96,16 @@
   return pauses;
 }
 
-void RoleOrders::ClaimIfNeeded() {
-  if (!this->context.hooks.claim_turn || !this->turn.MayClaim(this->Now()) ||
-      this->Plan().empty()) {
+void RoleOrders::AcquireTermIfNeeded() {
+  if (!this->context.hooks.acquire_term ||
+      !this->leader_term.MayAcquire(this->Now()) || this->Plan().empty()) {
     return;
   }
-  this->turn.NoteClaiming(this->Now());
-  this->context.hooks.claim_turn([this](std::optional<TurnClaim> claim) {
-    if (const auto fence = this->turn.OnClaim(claim, this->Now())) {
-      this->GiveOrders(*fence);
+  this->leader_term.NoteAcquiring(this->Now());
+  this->context.hooks.acquire_term([this](std::optional<TermGrant> grant) {
+    if (const auto fencing_token =
+            this->leader_term.OnGrant(grant, this->Now())) {
+      this->SendOrders(*fencing_token);
     }
   });
 }
@@ -116,8 +117,8 @@
                                         RolePlanner& planner) {
     for (RoleChange& change :
          planner.Plan(engine, this->options.forecast(service),
-                      this->context.catalog.Of(service), this->context.book,
-                      this->Now())) {
+                      this->context.catalog.ForService(service),
+                      this->context.load_table, this->Now())) {
       planned.push_back(
           {.engine = engine, .planner = &planner, .change = std::move(change)});
     }
@@ -125,71 +126,75 @@
   return planned;
 }
 
-void RoleOrders::GiveOrders(std::uint64_t fence) {
+void RoleOrders::SendOrders(std::uint64_t fencing_token) {
   for (const PlannedChange& planned : this->Plan()) {
     // Also if the order is lost: it may be carried out late.
     planned.planner->NoteOrdered(planned.change, planned.engine, this->Now());
-    this->context.alarms.Set(this->Now() + kPauseSpreads,
-                             [this, change = planned.change, fence] {
-                               this->AskBeforeOrder(change, fence);
+    this->context.timers.Set(this->Now() + kPauseSpreadTime,
+                             [this, change = planned.change, fencing_token] {
+                               this->FetchReportThenOrder(change,
+                                                          fencing_token);
                              });
   }
   this->PauseSwitching();
   this->context.hooks.on_pauses_changed();
 }
 
-void RoleOrders::AskBeforeOrder(const RoleChange& change, std::uint64_t fence) {
+void RoleOrders::FetchReportThenOrder(const RoleChange& change,
+                                      std::uint64_t fencing_token) {
   this->context.hooks.send(
       change.endpoint.address,
       this->context.dialect.write_report(change.endpoint),
       {.on_end =
-           [this, change, fence](const std::string& body) {
+           [this, change, fencing_token](const std::string& body) {
              const auto accepted =
                  this->context.dialect.read_accepted_orders(body);
              if (accepted) {
-               this->SendOrder(change, fence, *accepted);
+               this->SendOrder(change, fencing_token, *accepted);
              } else {
-               this->NoteOrder(change, fence, "unreadable report");
+               this->LogOrder(change, fencing_token, "unreadable report");
              }
            },
        .on_error =
-           [this, change, fence](const Error& error, bool) {
-             this->NoteOrder(change, fence, "no report: " + error.detail);
+           [this, change, fencing_token](const Error& error, bool) {
+             this->LogOrder(change, fencing_token,
+                            "no report: " + error.detail);
            }});
 }
 
 void RoleOrders::SendOrder(const RoleChange& change,
-                           std::uint64_t fence,
+                           std::uint64_t fencing_token,
                            std::uint64_t accepted) {
   auto status = std::make_shared<int>(0);
   this->context.hooks.send(
       change.endpoint.address,
-      this->context.dialect.write_role_order(
-          change.endpoint, change.role, this->options.holder, fence, accepted),
+      this->context.dialect.write_role_order(change.endpoint, change.role,
+                                             this->options.holder,
+                                             fencing_token, accepted),
       {.on_head = [status](int answered,
                            const http::Headers&) { *status = answered; },
        .on_end =
-           [this, status, change, fence](const std::string&) {
-             this->NoteOrder(change, fence, std::to_string(*status));
+           [this, status, change, fencing_token](const std::string&) {
+             this->LogOrder(change, fencing_token, std::to_string(*status));
            },
        .on_error =
-           [this, change, fence](const Error& error, bool) {
-             this->NoteOrder(change, fence, "lost: " + error.detail);
+           [this, change, fencing_token](const Error& error, bool) {
+             this->LogOrder(change, fencing_token, "lost: " + error.detail);
            }});
 }
 
-void RoleOrders::NoteOrder(const RoleChange& change,
-                           std::uint64_t fence,
-                           std::string result) {
+void RoleOrders::LogOrder(const RoleChange& change,
+                          std::uint64_t fencing_token,
+                          std::string result) {
   const forecast::ServiceForecast& forecast =
       this->options.forecast(change.endpoint.service);
   const forecast::ReportedValue prompt_token =
       forecast.ForFigure(forecast::Figure::kPrefillTokenMs);
-  this->context.hooks.note(
+  this->context.hooks.log(
       log::Level::kInfo, "role_ordered",
       {.endpoint = change.endpoint.id,
        .fields = {{"role", NameOf(kEndpointRoleNames, change.role)},
-                  {"fence", fence},
+                  {"fence", fencing_token},
                   {"result", std::move(result)},
                   {"prefill_share", change.share},
                   {"prompt_token_us", prompt_token.value * 1000},
--- a/src/gateway/internal/role_orders.h
+++ b/src/gateway/internal/role_orders.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "gateway/internal/relay_context.h"
-#include "gateway/order_turn.h"
+#include "gateway/leader_term.h"
 #include "gateway/role_planner.h"
 
 namespace acacialug::gateway {
@@ -41,7 +41,7 @@
                 const std::string& peer,
                 const forecast::RequestSizes& sizes);
 
-  // As of OrderTurn.
+  // As of LeaderTerm.
   void SetFirst(bool first);
 
   // Endpoints that change their role now, by this process's orders.
@@ -55,7 +55,7 @@
   };
 
   Instant Now() const { return this->context.hooks.now(); }
-  void Look();
+  void Poll();
   // Visits the planners of services that have an engine; none while no
   // configuration is known.
   void ForEachPlanner(const std::function<void(const ServiceName& service,
@@ -63,20 +63,21 @@
                                                RolePlanner& planner)>& visit);
   void WatchSwitches();
   void PauseSwitching();
-  void ClaimIfNeeded();
+  void AcquireTermIfNeeded();
   std::vector<PlannedChange> Plan();
-  void GiveOrders(std::uint64_t fence);
-  void AskBeforeOrder(const RoleChange& change, std::uint64_t fence);
+  void SendOrders(std::uint64_t fencing_token);
+  void FetchReportThenOrder(const RoleChange& change,
+                            std::uint64_t fencing_token);
   void SendOrder(const RoleChange& change,
-                 std::uint64_t fence,
+                 std::uint64_t fencing_token,
                  std::uint64_t accepted);
-  void NoteOrder(const RoleChange& change,
-                 std::uint64_t fence,
-                 std::string result);
+  void LogOrder(const RoleChange& change,
+                std::uint64_t fencing_token,
+                std::string result);
 
   const Options options;
   RelayContext& context;
-  OrderTurn turn{{}};
+  LeaderTerm leader_term{{}};
   std::map<ServiceName, RolePlanner> planners;
 };
 
--- a/src/gateway/internal/stream_relay.cc
+++ b/src/gateway/internal/stream_relay.cc
@@ -10,15 +10,15 @@
 
 // A prefill is given up when it takes three times what is expected and this
 // much more; sound ones keep well within twice.
-constexpr double kPrefillPatience = 3.0;
+constexpr double kPrefillTimeoutFactor = 3.0;
 constexpr Duration kPrefillSlack = 350ms;
 // Prefills of one request. The first is free of the repeat budget.
-constexpr std::uint32_t kMostPrefills = 3;
+constexpr std::uint32_t kMaxPrefills = 3;
 // Endpoints that are full one after the other before a pause, and that are
 // asked at all: one that cannot be reached, or leaves, says nothing of the
 // others' memory.
-constexpr std::uint32_t kMostFull = 3;
-constexpr std::size_t kMostAsked = 8;
+constexpr std::uint32_t kMaxFull = 3;
+constexpr std::size_t kMaxAsked = 8;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   return this->context.streams.KvTokens(this->Size());
 }
 
-std::optional<StreamPlacement::Place> StreamRelay::FindPlace(
+std::optional<StreamPlacement::Placement> StreamRelay::FindPlacement(
     std::vector<EndpointId> avoided) {
   avoided.insert(avoided.end(), this->tried.begin(), this->tried.end());
   avoided.insert(avoided.end(), this->full.begin(), this->full.end());
@@ -44,18 +44,19 @@
        .longest_pause = this->work.route->longest_pause,
        .waited = this->Age(),
        .tried = std::move(avoided),
-       .yields = this->late() && !this->resumed(),
+       .low_priority = this->late() && !this->resumed(),
        .domain = this->context.domain,
        .now = this->Now()},
       *this->work.traits->engine, this->work.state->forecast,
-      this->context.catalog.Of(this->work.service), this->context.random);
+      this->context.catalog.ForService(this->work.service),
+      this->context.random);
 }
 
 bool StreamRelay::TryPlace() {
   if (this->EndIfQuarantined()) {
     return true;
   }
-  const auto chosen = this->FindPlace({});
+  const auto chosen = this->FindPlacement({});
   if (!chosen) {
     return false;
   }
@@ -70,20 +71,21 @@
 
 void StreamRelay::AfterReserve() {
   this->EndRound();
-  if (this->place->prefill) {
+  if (this->placement->prefill) {
     this->StartPrefill();
   } else {
     this->StartDecode(WorkStep::kWhole);
   }
 }
 
-void StreamRelay::Ask(const StreamPlacement::Place& at,
-                      ReservationAsk::Done on_done) {
-  this->StopAsking();
-  this->asking = std::make_shared<ReservationAsk>(this->context, at);
+void StreamRelay::RequestReservation(const StreamPlacement::Placement& at,
+                                     ReservationRequest::Done on_done) {
+  this->CancelReservationRequest();
+  this->reservation_request =
+      std::make_shared<ReservationRequest>(this->context, at);
   // Not shared: what is asked is this relay's own, and would keep it for ever
   // where no answer is waited for any more.
-  this->asking->Begin(
+  this->reservation_request->Begin(
       [weak = this->weak_from_this(), done = std::move(on_done)](
           ReservationAnswer answer, std::string name) {
         if (const auto self = weak.lock()) {
@@ -92,28 +94,29 @@
       });
 }
 
-void StreamRelay::StopAsking() {
-  if (const auto asked = std::exchange(this->asking, nullptr)) {
+void StreamRelay::CancelReservationRequest() {
+  if (const auto asked = std::exchange(this->reservation_request, nullptr)) {
     asked->Cancel();
   }
 }
 
 void StreamRelay::Reserve() {
-  this->Ask(*this->place, [this](ReservationAnswer answer, std::string name) {
-    if (answer == ReservationAnswer::kGranted) {
-      this->reservation = std::move(name);
-      this->AfterReserve();
-    } else {
-      this->OnReserveRefused(answer);
-    }
-  });
+  this->RequestReservation(*this->placement,
+                           [this](ReservationAnswer answer, std::string name) {
+                             if (answer == ReservationAnswer::kGranted) {
+                               this->reservation = std::move(name);
+                               this->AfterReserve();
+                             } else {
+                               this->OnReserveRefused(answer);
+                             }
+                           });
 }
 
 // Nothing was computed yet, so that asking another costs a round trip only.
 void StreamRelay::OnReserveRefused(ReservationAnswer answer) {
   const bool ask_on = this->NoteRefused(answer);
-  this->GivePrefillBack();
-  this->GiveDecodeBack();
+  this->ReleasePrefill();
+  this->ReleaseDecode();
   if (ask_on && this->TryPlace()) {
     return;
   }
@@ -122,29 +125,30 @@
 }
 
 bool StreamRelay::NoteRefused(ReservationAnswer answer) {
-  const StreamPlacement::Place& refused = this->asking->place();
-  this->Note(log::Level::kInfo, "reservation_refused", refused.decode.id,
-             {{"why", NameOf(kReservationAnswerNames, answer)},
-              {"kv_tokens", refused.decode_load.kv_tokens},
-              {"decode_fill", refused.decode_fill},
-              {"after_ms", this->asking->Age()}});
+  const StreamPlacement::Placement& refused =
+      this->reservation_request->placement();
+  this->Log(log::Level::kInfo, "reservation_refused", refused.decode.id,
+            {{"why", NameOf(kReservationAnswerNames, answer)},
+             {"kv_tokens", refused.decode_load.kv_tokens},
+             {"decode_fill", refused.decode_fill},
+             {"after_ms", this->reservation_request->Age()}});
   this->full.push_back(refused.decode.id);
-  this->found_full += answer == ReservationAnswer::kFull ? 1 : 0;
-  return this->found_full < kMostFull && this->full.size() < kMostAsked;
+  this->full_answers += answer == ReservationAnswer::kFull ? 1 : 0;
+  return this->full_answers < kMaxFull && this->full.size() < kMaxAsked;
 }
 
 void StreamRelay::EndRound() {
   this->full.clear();
-  this->found_full = 0;
+  this->full_answers = 0;
 }
 
-void StreamRelay::Take(const StreamPlacement::Place& chosen) {
-  this->place = chosen;
+void StreamRelay::Take(const StreamPlacement::Placement& chosen) {
+  this->placement = chosen;
   this->placed_at = this->Now();
   if (this->outcome.prefills == 0 && this->outcome.sends == 0) {
     this->outcome.waited = this->Age();
   }
-  this->Note(
+  this->Log(
       log::Level::kInfo, "stream_placed", chosen.decode.id,
       {{"prefill", chosen.prefill ? chosen.prefill->id.text : std::string()},
        {"waited_ms", this->Age()},
@@ -153,72 +157,76 @@
        {"decode_fill", chosen.decode_fill},
        {"prefill_expected_ms", chosen.prefill_time},
        {"endpoints_as_of", this->context.catalog.complete_to()},
-       {"peers", this->context.book.peers()}});
-  this->context.book.Add(chosen.decode.id, chosen.decode_load,
-                         chosen.decode.born);
+       {"peers", this->context.load_table.peers()}});
+  this->context.load_table.Add(chosen.decode.id, chosen.decode_load,
+                               chosen.decode.started_at_ms);
   this->decode_held = true;
-  this->work.state->queue.NoteTaken(chosen.decode_load.kv_tokens);
+  this->work.state->queue.NoteAllocated(chosen.decode_load.kv_tokens);
   if (chosen.prefill) {
-    this->context.book.Add(chosen.prefill->id, chosen.prefill_load,
-                           chosen.prefill->born);
+    this->context.load_table.Add(chosen.prefill->id, chosen.prefill_load,
+                                 chosen.prefill->started_at_ms);
     this->prefill_held = true;
   }
 }
 
-void StreamRelay::CountOwnPrompt(std::uint64_t tokens) {
-  std::uint64_t& counted = this->place->decode_load.prefill_tokens;
+void StreamRelay::CountLocalPrefill(std::uint64_t tokens) {
+  std::uint64_t& counted = this->placement->decode_load.prefill_tokens;
   if (!this->decode_held || counted == tokens) {
     return;
   }
-  this->context.book.Remove(this->place->decode.id, {.prefill_tokens = counted},
-                            this->place->decode.born);
-  this->context.book.Add(this->place->decode.id, {.prefill_tokens = tokens},
-                         this->place->decode.born);
+  this->context.load_table.Remove(this->placement->decode.id,
+                                  {.prefill_tokens = counted},
+                                  this->placement->decode.started_at_ms);
+  this->context.load_table.Add(this->placement->decode.id,
+                               {.prefill_tokens = tokens},
+                               this->placement->decode.started_at_ms);
   counted = tokens;
 }
 
-void StreamRelay::GivePrefillBack() {
+void StreamRelay::ReleasePrefill() {
   if (std::exchange(this->prefill_held, false)) {
-    this->context.book.Remove(this->place->prefill->id,
-                              this->place->prefill_load,
-                              this->place->prefill->born);
-    this->context.on_room(this->work.service);
+    this->context.load_table.Remove(this->placement->prefill->id,
+                                    this->placement->prefill_load,
+                                    this->placement->prefill->started_at_ms);
+    this->context.on_capacity_freed(this->work.service);
   }
 }
 
-void StreamRelay::GiveDecodeBack() {
+void StreamRelay::ReleaseDecode() {
   const bool ran = this->begun;
   if (std::exchange(this->decode_held, false)) {
-    this->GiveReservationBack();
-    this->context.book.Remove(this->place->decode.id, this->place->decode_load,
-                              this->place->decode.born);
+    this->ReleaseReservation();
+    this->context.load_table.Remove(this->placement->decode.id,
+                                    this->placement->decode_load,
+                                    this->placement->decode.started_at_ms);
     if (ran) {
-      this->context.health.NoteRoom(this->place->decode.id);
+      this->context.health.NoteCapacity(this->placement->decode.id);
     }
-    this->work.state->queue.NoteGiven(this->place->decode_load.kv_tokens,
-                                      this->Now() - this->placed_at);
-    this->context.on_room(this->work.service);
+    this->work.state->queue.NoteReleased(this->placement->decode_load.kv_tokens,
+                                         this->Now() - this->placed_at);
+    this->context.on_capacity_freed(this->work.service);
   }
 }
 
 // Its memory would be held at the prefill endpoint until it lapses.
-void StreamRelay::GiveExportBack() {
+void StreamRelay::ReleaseExport() {
   if (!this->prefilled) {
     return;
   }
   this->context.hooks.send(
-      this->place->prefill->address,
+      this->placement->prefill->address,
       this->context.dialect.write_release(this->prefilled->name),
       {.on_error = [](const Error&, bool) {}});
   this->prefilled.reset();
 }
 
-void StreamRelay::GiveReservationBack() {
-  this->GiveBack(this->place->decode, std::exchange(this->reservation, {}));
+void StreamRelay::ReleaseReservation() {
+  this->ReleaseReservationAt(this->placement->decode,
+                             std::exchange(this->reservation, {}));
 }
 
-void StreamRelay::GiveBack(const EndpointRecord& decode,
-                           const std::string& name) {
+void StreamRelay::ReleaseReservationAt(const EndpointRecord& decode,
+                                       const std::string& name) {
   if (!name.empty()) {
     this->context.hooks.send(decode.address,
                              this->context.dialect.write_unreserve(name),
@@ -234,7 +242,7 @@
   this->step_at = this->Now();
   auto self = this->Self();
   auto answer = std::make_shared<AnswerNature>(AnswerNature::kUnproven);
-  this->SendTo(*this->place->prefill,
+  this->SendTo(*this->placement->prefill,
                {.step = WorkStep::kPrefill, .time_left = this->TimeLeft()},
                {.is_answer =
                     [self](int answered, const http::Headers& head) {
@@ -251,28 +259,29 @@
                 .on_end =
                     [self, answer](const std::string& body) {
                       self->ForgetExchange();
-                      self->OnPrefillWhole(*answer, body);
+                      self->OnPrefillComplete(*answer, body);
                     },
                 .on_error =
                     [self, answer](const Error& /*error*/, bool sent) {
                       self->ForgetExchange();
-                      self->NoteLost(*self->place->prefill, sent, *answer);
+                      self->NoteLost(*self->placement->prefill, sent, *answer);
                       self->AfterPrefill(sent ? "lost" : "unreachable");
                     }});
-  const Duration patience =
-      FromSeconds(kPrefillPatience * Seconds(this->place->prefill_time)) +
-      kPrefillSlack;
-  this->WatchPhase(patience, [this] {
-    this->context.health.NoteSilence(this->place->prefill->id, this->Now());
-    this->context.hooks.drop_idle(this->place->prefill->address);
+  const Duration timeout = FromSeconds(kPrefillTimeoutFactor *
+                                       Seconds(this->placement->prefill_time)) +
+                           kPrefillSlack;
+  this->SetPhaseTimer(timeout, [this] {
+    this->context.health.NoteTimeout(this->placement->prefill->id, this->Now());
+    this->context.hooks.drop_idle(this->placement->prefill->address);
     this->StopExchange();
     this->AfterPrefill("silent");
   });
 }
 
-void StreamRelay::OnPrefillWhole(AnswerNature answer, const std::string& body) {
-  this->EndPhase();
-  const EndpointId& id = this->place->prefill->id;
+void StreamRelay::OnPrefillComplete(AnswerNature answer,
+                                    const std::string& body) {
+  this->CancelPhaseTimer();
+  const EndpointId& id = this->placement->prefill->id;
   if (answer == AnswerNature::kSuccess) {
     this->prefilled = this->context.dialect.read_export(body);
   }
@@ -280,7 +289,7 @@
     // One that prefills has no memory to run out of: a refusal means that it
     // changes its role, which takes seconds.
     if (answer == AnswerNature::kNotRun || answer == AnswerNature::kMisplaced) {
-      this->context.health.NoteSilence(id, this->Now());
+      this->context.health.NoteTimeout(id, this->Now());
     } else {
       this->context.health.NoteFailure(id, this->Now());
     }
@@ -289,45 +298,46 @@
   }
   this->context.health.NoteSuccess(id, this->Now());
   // A time that this process stood still for tells nothing of an engine.
-  if (!this->context.alarms.StoodStill(this->step_at, this->Now())) {
+  if (!this->context.timers.StalledBetween(this->step_at, this->Now())) {
     this->LearnFromPrefill(this->Now() - this->step_at);
   }
   this->was_prefilled = true;
-  this->GivePrefillBack();
+  this->ReleasePrefill();
   this->StartDecode(WorkStep::kDecode);
 }
 
 void StreamRelay::LearnFromPrefill(Duration took) {
   this->work.state->forecast.NotePrefill(this->Size().prompt_tokens,
-                                         this->place->prefill_ahead, took);
-  if (this->place->prefill_time > Duration::zero()) {
-    const EndpointId& id = this->place->prefill->id;
-    this->context.health.NoteSpeed(id, this->context.health.Slowness(id) *
-                                           Seconds(took) /
-                                           Seconds(this->place->prefill_time));
+                                         this->placement->prefill_ahead, took);
+  if (this->placement->prefill_time > Duration::zero()) {
+    const EndpointId& id = this->placement->prefill->id;
+    this->context.health.NoteSpeed(
+        id, this->context.health.Slowness(id) * Seconds(took) /
+                Seconds(this->placement->prefill_time));
   }
 }
 
 void StreamRelay::AfterPrefill(std::string_view why) {
-  this->EndPhase();
-  this->Note(log::Level::kWarning, "prefill_failed", this->place->prefill->id,
-             {{"why", why},
-              {"request_key", HexText(this->work.key.value)},
-              {"after_ms", this->Now() - this->step_at},
-              {"expected_ms", this->place->prefill_time}});
-  this->tried.push_back(this->place->prefill->id);
-  this->GivePrefillBack();
+  this->CancelPhaseTimer();
+  this->Log(log::Level::kWarning, "prefill_failed",
+            this->placement->prefill->id,
+            {{"why", why},
+             {"request_key", HexText(this->work.key.value)},
+             {"after_ms", this->Now() - this->step_at},
+             {"expected_ms", this->placement->prefill_time}});
+  this->tried.push_back(this->placement->prefill->id);
+  this->ReleasePrefill();
   const bool again =
-      this->outcome.prefills < kMostPrefills && !this->Quarantined() &&
+      this->outcome.prefills < kMaxPrefills && !this->Quarantined() &&
       this->work.state->budget.TryTake(this->Now(), this->context.processes());
   if (again) {
-    this->GiveDecodeBack();
-    this->GoOn();
+    this->ReleaseDecode();
+    this->PlaceAgain();
     return;
   }
   // The decode endpoint can compute the prompt itself, at half the speed.
-  this->place->prefill.reset();
-  this->CountOwnPrompt(this->Size().prompt_tokens);
+  this->placement->prefill.reset();
+  this->CountLocalPrefill(this->Size().prompt_tokens);
   this->StartDecode(WorkStep::kWhole);
 }
 
@@ -340,57 +350,57 @@
 }
 
 void StreamRelay::AfterNotRun() {
-  this->EndPhase();
-  this->EndMove();
+  this->CancelPhaseTimer();
+  this->EndMigration();
   this->decode_open = false;
   --this->runs;
-  this->tried.push_back(this->place->decode.id);
+  this->tried.push_back(this->placement->decode.id);
   if (this->prefilled) {
     // Either end may be why it could not be fetched.
-    this->tried.push_back(this->place->prefill->id);
+    this->tried.push_back(this->placement->prefill->id);
   }
-  this->GiveDecodeBack();
+  this->ReleaseDecode();
   this->prefilled.reset();
-  const bool again = this->outcome.sends < kMostSends && this->TakeRepeat();
-  this->Note(log::Level::kInfo, "decode_refused", this->place->decode.id,
-             {{"again", again},
-              {"after_ms", this->Now() - this->step_at},
-              {"repeats", this->work.state->budget.repeats()}});
+  const bool again = this->outcome.sends < kMaxSends && this->TakeRepeat();
+  this->Log(log::Level::kInfo, "decode_refused", this->placement->decode.id,
+            {{"again", again},
+             {"after_ms", this->Now() - this->step_at},
+             {"repeats", this->work.state->budget.repeats()}});
   if (!again) {
     this->GiveUp(ResultCode::kNoDecodeMemory);
     return;
   }
-  this->GoOn();
+  this->PlaceAgain();
 }
 
-std::uint32_t StreamRelay::RepeatsOfAMove() const {
+std::uint32_t StreamRelay::RepeatsOfMigration() const {
   return this->was_prefilled ? 2 : 1;
 }
 
 bool StreamRelay::TakeRepeat() {
-  return !this->Quarantined() &&
-         this->work.state->budget.TryTake(
-             this->Now(), this->context.processes(), this->RepeatsOfAMove());
+  return !this->Quarantined() && this->work.state->budget.TryTake(
+                                     this->Now(), this->context.processes(),
+                                     this->RepeatsOfMigration());
 }
 
 void StreamRelay::AfterRun(ResultCode code) {
-  this->EndPhase();
-  this->EndMove();
+  this->CancelPhaseTimer();
+  this->EndMigration();
   this->decode_open = false;
-  this->tried.push_back(this->place->decode.id);
-  this->GiveDecodeBack();
+  this->tried.push_back(this->placement->decode.id);
+  this->ReleaseDecode();
   this->prefilled.reset();
   const bool again = this->MayRunAgain() &&
                      this->runs < this->work.route->max_endpoints &&
-                     this->outcome.sends < kMostSends && this->TakeRepeat();
+                     this->outcome.sends < kMaxSends && this->TakeRepeat();
   if (!again) {
     this->GiveUp(code);
     return;
   }
-  this->GoOn();
+  this->PlaceAgain();
 }
 
-void StreamRelay::GoOn() {
+void StreamRelay::PlaceAgain() {
   if (!this->TryPlace()) {
     this->context.on_unplaced(*this);
   }
@@ -409,9 +419,9 @@
   const Duration back =
       code == ResultCode::kQuarantined
           ? this->context.crashes.TimeLeft(this->work.key, this->Now())
-          : this->work.state->queue.NextReturn(this->kv_tokens(),
-                                               this->TimeLeft(), this->Now(),
-                                               this->context.random);
+          : this->work.state->queue.NextRetryDelay(
+                this->kv_tokens(), this->TimeLeft(), this->Now(),
+                this->context.random);
   this->Refuse(IsNotRun(code) ? code : ResultCode::kNoEndpoint, back);
 }
 
@@ -421,14 +431,14 @@
 }
 
 void StreamRelay::Release() {
-  this->StopAsking();
+  this->CancelReservationRequest();
   // An export that nobody asked for is freed; one that a decode endpoint was
   // told of is that endpoint's.
   if (this->prefilled && !this->decode_open) {
-    this->GiveExportBack();
+    this->ReleaseExport();
   }
-  this->GivePrefillBack();
-  this->GiveDecodeBack();
+  this->ReleasePrefill();
+  this->ReleaseDecode();
 }
 
 }  // namespace acacialug::gateway
--- a/src/gateway/internal/stream_relay.h
+++ b/src/gateway/internal/stream_relay.h
@@ -7,7 +7,7 @@
 
 #include "gateway/event_splitter.h"
 #include "gateway/internal/relay.h"
-#include "gateway/internal/reservation_ask.h"
+#include "gateway/internal/reservation_request.h"
 
 namespace acacialug::gateway {
 
@@ -25,7 +25,7 @@
   std::uint64_t kv_tokens() const;
 
   // It comes back after a refusal, and its answer is late whenever it begins.
-  bool late() const { return this->work.returned; }
+  bool late() const { return this->work.is_retry; }
 
   // Something was computed or sent for it.
   bool resumed() const {
@@ -41,37 +41,39 @@
 
  private:
   // Requests of one generation to decode endpoints.
-  static constexpr std::uint32_t kMostSends = 4;
+  static constexpr std::uint32_t kMaxSends = 4;
 
   std::shared_ptr<StreamRelay> Self();
   GenerationSize Size() const;
 
-  void Take(const StreamPlacement::Place& chosen);
+  void Take(const StreamPlacement::Placement& chosen);
   // How much of a prompt its decode endpoint has to compute yet: others are
   // held up meanwhile.
-  void CountOwnPrompt(std::uint64_t tokens);
-  void GivePrefillBack();
-  void GiveDecodeBack();
-  void GiveExportBack();
-  void GiveReservationBack();
+  void CountLocalPrefill(std::uint64_t tokens);
+  void ReleasePrefill();
+  void ReleaseDecode();
+  void ReleaseExport();
+  void ReleaseReservation();
   // An empty name is none.
-  void GiveBack(const EndpointRecord& decode, const std::string& name);
+  void ReleaseReservationAt(const EndpointRecord& decode,
+                            const std::string& name);
 
   // Sets decode memory aside before anything is computed for it.
   void Reserve();
   void OnReserveRefused(ReservationAnswer answer);
   void AfterReserve();
   // Empty: no endpoint has room but those avoided, tried, or found full.
-  std::optional<StreamPlacement::Place> FindPlace(
+  std::optional<StreamPlacement::Placement> FindPlacement(
       std::vector<EndpointId> avoided);
   // `on_done` runs while this relay lives.
-  void Ask(const StreamPlacement::Place& at, ReservationAsk::Done on_done);
-  void StopAsking();
+  void RequestReservation(const StreamPlacement::Placement& at,
+                          ReservationRequest::Done on_done);
+  void CancelReservationRequest();
   // The endpoint asked last refused; false: enough were asked in this round.
   bool NoteRefused(ReservationAnswer answer);
   void EndRound();
   void StartPrefill();
-  void OnPrefillWhole(AnswerNature nature, const std::string& body);
+  void OnPrefillComplete(AnswerNature nature, const std::string& body);
   void LearnFromPrefill(Duration took);
   // The prefill came to nothing; the request has not run.
   void AfterPrefill(std::string_view why);
@@ -84,19 +86,20 @@
   // What the time of this event teaches of the service's engines.
   void LearnFromEvent();
   // Silence after which it is taken as lost.
-  Duration SilencePatience() const;
+  Duration ResponseTimeout() const;
   void OnDecodeEnd();
   void OnDecodeLost(const Error& error, bool sent);
-  void WatchForSilence();
-  void OnSilent();
+  void StartResponseTimer();
+  void OnResponseTimeout();
   // Its route and the budget of repeats allow it to go on elsewhere.
-  bool MayMove();
+  bool MayMigrate();
   // Asks other endpoints for memory while the stream stays where it is.
-  void AskElsewhere();
-  void OnAskedElsewhere(ReservationAnswer answer, const std::string& name);
-  void EndMove();
+  void RequestElsewhere();
+  void OnElsewhereAnswer(ReservationAnswer answer, const std::string& name);
+  void EndMigration();
   // Stops the stream where it is, and goes on where memory was granted.
-  void MoveTo(const StreamPlacement::Place& granted, const std::string& name);
+  void MigrateTo(const StreamPlacement::Placement& granted,
+                 const std::string& name);
 
   // Ends it if its request is quarantined; true: it is over.
   bool EndIfQuarantined();
@@ -104,19 +107,20 @@
   void AfterRun(ResultCode code);
   // Takes another decode, and another prefill if there was one, from the
   // budget: both arrive at endpoints beyond the first time.
-  std::uint32_t RepeatsOfAMove() const;
+  std::uint32_t RepeatsOfMigration() const;
   bool TakeRepeat();
   // Takes another place, now or when there is one.
-  void GoOn();
+  void PlaceAgain();
   void GiveUp(ResultCode code);
 
-  std::optional<StreamPlacement::Place> place;
+  std::optional<StreamPlacement::Placement> placement;
   std::optional<PrefillExport> prefilled;
   std::string reservation;  // at the decode endpoint, not used yet
-  std::shared_ptr<ReservationAsk> asking;  // the latest; may be over
+  std::shared_ptr<ReservationRequest>
+      reservation_request;  // the latest; may be over
   bool was_prefilled = false;
-  std::vector<EndpointId> full;  // refused a reservation in this round
-  std::uint32_t found_full = 0;  // in this round
+  std::vector<EndpointId> full;    // refused a reservation in this round
+  std::uint32_t full_answers = 0;  // in this round
   Instant placed_at;
   Instant step_at;
   bool prefill_held = false;  // its load is in the book
@@ -126,14 +130,16 @@
   int status = 0;
   http::Headers headers;
   std::string failure_body;
-  bool reserved_here = false;       // the attempt had memory set aside for it
-  bool decode_open = false;         // asked, and not over
-  bool heard_since_silent = false;  // of the attempt that was taken for silent
-  bool begun = false;               // the caller has the head
+  bool attempt_reserved = false;  // the attempt had memory set aside for it
+  bool decode_open = false;       // asked, and not over
+  bool received_since_timeout =
+      false;           // of the attempt that was taken for silent
+  bool begun = false;  // the caller has the head
   std::optional<std::uint64_t> last_event;
-  Instant event_at{};             // when it came
-  bool prompt_there = false;      // a prompt was computed there at that time
-  std::uint32_t events_here = 0;  // of the attempt under way
+  Instant event_at{};  // when it came
+  bool prefill_at_last_event =
+      false;                         // a prompt was computed there at that time
+  std::uint32_t attempt_events = 0;  // of the attempt under way
   std::uint32_t runs = 0;  // attempts without a proof that they did not run
 };
 
--- a/src/gateway/internal/stream_relay_decode.cc
+++ b/src/gateway/internal/stream_relay_decode.cc
@@ -13,10 +13,10 @@
 constexpr std::uint64_t kCountedStep = 64;
 // A decode endpoint that is silent for this many times what it needs to compute
 // a preempted stream's memory again and make an event has lost the stream.
-constexpr double kSilenceFactor = 3.0;
+constexpr double kResponseTimeoutFactor = 3.0;
 // And no sooner than after this: half of the shortest gap after which callers
 // give a stream up.
-constexpr Duration kLeastSilence = 1s;
+constexpr Duration kMinResponseTimeout = 1s;
 // Callers bear a gap of this many objectives; half of it leaves time for
 // another endpoint to go on.
 constexpr double kBorneObjectives = 4.0;
@@ -34,19 +34,19 @@
   this->failure_body.clear();
   this->splitter.Clear();
   this->step_at = this->Now();
-  this->events_here = 0;
-  this->reserved_here = !this->reservation.empty();
+  this->attempt_events = 0;
+  this->attempt_reserved = !this->reservation.empty();
   WorkOrder order{.step = step,
                   .time_left = this->TimeLeft(),
                   .reservation = std::exchange(this->reservation, {}),
                   .resume_after = this->last_event};
   if (step == WorkStep::kDecode) {
     order.export_name = this->prefilled->name;
-    order.export_from = this->place->prefill->address;
+    order.export_from = this->placement->prefill->address;
   }
   auto self = this->Self();
   this->SendTo(
-      this->place->decode, order,
+      this->placement->decode, order,
       {.is_answer =
            [self, step](int answered, const http::Headers& head) {
              return self->context.dialect.judge_answer(self->work.request, step,
@@ -63,16 +63,17 @@
        .on_end = [self](const std::string&) { self->OnDecodeEnd(); },
        .on_error = [self](const Error& error,
                           bool sent) { self->OnDecodeLost(error, sent); }});
-  this->WatchForSilence();
+  this->StartResponseTimer();
 }
 
-void StreamRelay::WatchForSilence() {
+void StreamRelay::StartResponseTimer() {
   if (this->MayRunAgain()) {
-    this->WatchPhase(this->SilencePatience(), [this] { this->OnSilent(); });
+    this->SetPhaseTimer(this->ResponseTimeout(),
+                        [this] { this->OnResponseTimeout(); });
   }
 }
 
-Duration StreamRelay::SilencePatience() const {
+Duration StreamRelay::ResponseTimeout() const {
   const forecast::ServiceForecast& forecast = this->work.state->forecast;
   const std::uint64_t held = this->Size().prompt_tokens +
                              std::uint64_t{this->outcome.events} *
@@ -81,8 +82,9 @@
                           forecast.FirstEvent() + forecast.Pause();
   const Duration borne =
       FromSeconds(kBorneObjectives / 2 * Seconds(this->work.route->objective));
-  return std::max(kLeastSilence, std::min(borne, FromSeconds(kSilenceFactor *
-                                                             Seconds(needed))));
+  return std::max(
+      kMinResponseTimeout,
+      std::min(borne, FromSeconds(kResponseTimeoutFactor * Seconds(needed))));
 }
 
 void StreamRelay::OnDecodeHead(int answered, const http::Headers& head) {
@@ -96,7 +98,7 @@
 }
 
 void StreamRelay::OnDecodeData(std::string_view data) {
-  this->heard_since_silent = true;
+  this->received_since_timeout = true;
   if (this->nature != AnswerNature::kSuccess) {
     this->failure_body += data;
     return;
@@ -111,38 +113,39 @@
     this->AfterRun(ResultCode::kEngineBadAnswer);
     return;
   }
-  this->WatchForSilence();
+  this->StartResponseTimer();
 }
 
 void StreamRelay::LearnFromEvent() {
   forecast::ServiceForecast& forecast = this->work.state->forecast;
   const Instant now = this->Now();
   const bool prompt_now =
-      this->context.book.Of(this->place->decode.id).prefill_tokens > 0;
+      this->context.load_table.TotalAt(this->placement->decode.id)
+          .prefill_tokens > 0;
   // An event that lay unread while this process stood still would read as a
   // slow engine, here and at the peers that are told.
-  const bool own_time = this->context.alarms.StoodStill(
-      this->events_here == 0 ? this->step_at : this->event_at, now);
-  if (this->decode_held && this->place->decode_load.prefill_tokens > 0) {
+  const bool own_time = this->context.timers.StalledBetween(
+      this->attempt_events == 0 ? this->step_at : this->event_at, now);
+  if (this->decode_held && this->placement->decode_load.prefill_tokens > 0) {
     if (!this->last_event && !own_time) {
       forecast.NoteLocalPrefill(this->Size().prompt_tokens,
                                 now - this->step_at);
     }
-    this->CountOwnPrompt(0);
+    this->CountLocalPrefill(0);
   } else if (own_time) {
     // Teaches nothing.
-  } else if (this->events_here == 0) {
+  } else if (this->attempt_events == 0) {
     forecast.NoteFirstEvent(now - this->step_at);
   } else {
     forecast.NotePause(now - this->event_at,
                        this->work.traits->engine->tokens_per_event,
-                       prompt_now && this->prompt_there);
+                       prompt_now && this->prefill_at_last_event);
   }
-  if (this->events_here == 0) {
-    this->context.health.NoteBegun(this->place->decode.id);
+  if (this->attempt_events == 0) {
+    this->context.health.NoteStarted(this->placement->decode.id);
   }
-  this->prompt_there = prompt_now;
-  ++this->events_here;
+  this->prefill_at_last_event = prompt_now;
+  ++this->attempt_events;
 }
 
 // False: the attempt is over.
@@ -176,7 +179,7 @@
   ++this->outcome.events;
   this->NoteProgress();
   this->work.responder->SendData(event.bytes);
-  return !this->over();
+  return !this->finished();
 }
 
 // A stream that is longer than expected takes more than it was counted with.
@@ -185,22 +188,22 @@
                              this->work.traits->engine->tokens_per_event;
   const std::uint64_t taken =
       this->context.streams.KvTokens(this->Size(), made);
-  EndpointLoad& counted = this->place->decode_load;
+  EndpointLoad& counted = this->placement->decode_load;
   if (!this->decode_held || taken < counted.kv_tokens + kCountedStep) {
     return;
   }
   const EndpointLoad more{.kv_tokens = taken - counted.kv_tokens};
-  this->context.book.Add(this->place->decode.id, more,
-                         this->place->decode.born);
-  this->work.state->queue.NoteTaken(more.kv_tokens);
+  this->context.load_table.Add(this->placement->decode.id, more,
+                               this->placement->decode.started_at_ms);
+  this->work.state->queue.NoteAllocated(more.kv_tokens);
   counted += more;
 }
 
 void StreamRelay::OnDecodeEnd() {
   this->ForgetExchange();
-  this->EndPhase();
+  this->CancelPhaseTimer();
   this->decode_open = false;
-  const EndpointId id = this->place->decode.id;
+  const EndpointId id = this->placement->decode.id;
   switch (this->nature) {
     case AnswerNature::kSuccess:
       this->context.health.NoteSuccess(id, this->Now());
@@ -216,18 +219,19 @@
       this->Finish(RelayEnd::kServed, ResultCode::kOk, this->status);
       return;
     case AnswerNature::kNotRun:
-      if (this->reserved_here) {
-        this->context.health.NoteBrokenPromise(id, this->Now());
+      if (this->attempt_reserved) {
+        this->context.health.NoteBrokenReservation(id, this->Now());
       } else {
         this->context.health.NoteFull(id, this->Now());
       }
       if (this->prefilled) {
-        this->context.health.NoteFailure(this->place->prefill->id, this->Now());
+        this->context.health.NoteFailure(this->placement->prefill->id,
+                                         this->Now());
       }
       this->AfterNotRun();
       return;
     case AnswerNature::kMisplaced:
-      this->context.health.NoteSilence(id, this->Now());
+      this->context.health.NoteTimeout(id, this->Now());
       this->AfterNotRun();
       return;
     case AnswerNature::kFailure:
@@ -238,8 +242,8 @@
         if (this->begun) {
           this->GiveUp(ResultCode::kEngineFailed);
         } else {
-          this->PassOn(RelayEnd::kFailed, this->status, this->headers,
-                       this->failure_body);
+          this->ForwardAnswer(RelayEnd::kFailed, this->status, this->headers,
+                              this->failure_body);
         }
         return;
       }
@@ -256,14 +260,14 @@
 void StreamRelay::OnDecodeLost(const Error& error, bool sent) {
   this->ForgetExchange();
   this->decode_open = false;
-  this->NoteLost(this->place->decode, sent, this->nature);
-  this->Note(log::Level::kWarning, "attempt_lost", this->place->decode.id,
-             {{"sent", sent},
-              {"after_ms", this->Now() - this->step_at},
-              {"events", this->outcome.events},
-              {"request_key", HexText(this->work.key.value)},
-              {"detail", error.detail}},
-             error.result_code());
+  this->NoteLost(this->placement->decode, sent, this->nature);
+  this->Log(log::Level::kWarning, "attempt_lost", this->placement->decode.id,
+            {{"sent", sent},
+             {"after_ms", this->Now() - this->step_at},
+             {"events", this->outcome.events},
+             {"request_key", HexText(this->work.key.value)},
+             {"detail", error.detail}},
+            error.result_code());
   if (!sent || this->nature == AnswerNature::kNotRun) {
     this->AfterNotRun();
   } else {
@@ -271,89 +275,91 @@
   }
 }
 
-bool StreamRelay::MayMove() {
+bool StreamRelay::MayMigrate() {
   return this->runs < this->work.route->max_endpoints &&
-         this->outcome.sends < kMostSends && !this->Quarantined() &&
+         this->outcome.sends < kMaxSends && !this->Quarantined() &&
          this->work.state->budget.Allows(this->Now(), this->context.processes(),
-                                         this->RepeatsOfAMove());
+                                         this->RepeatsOfMigration());
 }
 
-void StreamRelay::OnSilent() {
-  const bool possible = this->MayMove();
-  this->context.health.NoteSilence(this->place->decode.id, this->Now());
-  this->Note(log::Level::kWarning, "attempt_silent", this->place->decode.id,
-             {{"after_ms", this->Now() - this->step_at},
-              {"events", this->outcome.events},
-              {"goes_elsewhere", possible},
-              {"request_key", HexText(this->work.key.value)},
-              {"repeats", this->work.state->budget.repeats()}},
-             ResultCode::kEndpointLost);
-  this->heard_since_silent = false;
+void StreamRelay::OnResponseTimeout() {
+  const bool possible = this->MayMigrate();
+  this->context.health.NoteTimeout(this->placement->decode.id, this->Now());
+  this->Log(log::Level::kWarning, "attempt_silent", this->placement->decode.id,
+            {{"after_ms", this->Now() - this->step_at},
+             {"events", this->outcome.events},
+             {"goes_elsewhere", possible},
+             {"request_key", HexText(this->work.key.value)},
+             {"repeats", this->work.state->budget.repeats()}},
+            ResultCode::kEndpointLost);
+  this->received_since_timeout = false;
   if (possible) {
-    this->AskElsewhere();
+    this->RequestElsewhere();
   } else {
-    this->WatchForSilence();
+    this->StartResponseTimer();
   }
 }
 
 // A stream that was stopped first, and then found the budget of repeats used up
 // or no room, was cut off; where it was it might have gone on, late, but whole.
 // So memory is had elsewhere before anything is stopped.
-void StreamRelay::AskElsewhere() {
-  const auto chosen = this->FindPlace({this->place->decode.id});
+void StreamRelay::RequestElsewhere() {
+  const auto chosen = this->FindPlacement({this->placement->decode.id});
   if (!chosen) {
-    this->EndMove();
-    this->WatchForSilence();
+    this->EndMigration();
+    this->StartResponseTimer();
     return;
   }
   if (!this->context.dialect.write_reserve) {
-    this->MoveTo(*chosen, {});
+    this->MigrateTo(*chosen, {});
     return;
   }
-  this->Ask(*chosen, [this](ReservationAnswer answer, const std::string& name) {
-    this->OnAskedElsewhere(answer, name);
-  });
+  this->RequestReservation(
+      *chosen, [this](ReservationAnswer answer, const std::string& name) {
+        this->OnElsewhereAnswer(answer, name);
+      });
 }
 
-void StreamRelay::OnAskedElsewhere(ReservationAnswer answer,
-                                   const std::string& name) {
-  const StreamPlacement::Place asked = this->asking->place();
+void StreamRelay::OnElsewhereAnswer(ReservationAnswer answer,
+                                    const std::string& name) {
+  const StreamPlacement::Placement asked =
+      this->reservation_request->placement();
   const bool granted = answer == ReservationAnswer::kGranted;
-  if (this->heard_since_silent) {
+  if (this->received_since_timeout) {
     // OnDecodeData watches on.
-    this->GiveBack(asked.decode, name);
-    this->EndMove();
+    this->ReleaseReservationAt(asked.decode, name);
+    this->EndMigration();
   } else if (granted) {
-    this->MoveTo(asked, name);
+    this->MigrateTo(asked, name);
   } else if (this->NoteRefused(answer)) {
-    this->AskElsewhere();
+    this->RequestElsewhere();
   } else {
-    this->EndMove();
-    this->WatchForSilence();
+    this->EndMigration();
+    this->StartResponseTimer();
   }
 }
 
 // An answer that came after the attempt's own end would start a second one
 // beside the one that waits for a place by then.
-void StreamRelay::EndMove() {
-  this->StopAsking();
+void StreamRelay::EndMigration() {
+  this->CancelReservationRequest();
   this->EndRound();
 }
 
-void StreamRelay::MoveTo(const StreamPlacement::Place& granted,
-                         const std::string& name) {
+void StreamRelay::MigrateTo(const StreamPlacement::Placement& granted,
+                            const std::string& name) {
   if (!this->TakeRepeat()) {
-    this->GiveBack(granted.decode, name);
-    this->EndMove();
-    this->WatchForSilence();
+    this->ReleaseReservationAt(granted.decode, name);
+    this->EndMigration();
+    this->StartResponseTimer();
     return;
   }
-  this->EndPhase();
-  this->context.hooks.drop_idle(this->place->decode.address);
+  this->CancelPhaseTimer();
+  this->context.hooks.drop_idle(this->placement->decode.address);
   this->StopExchange();
   this->decode_open = false;
-  this->tried.push_back(this->place->decode.id);
-  this->GiveDecodeBack();
+  this->tried.push_back(this->placement->decode.id);
+  this->ReleaseDecode();
   this->prefilled.reset();
   this->Take(granted);
   this->reservation = name;
--- a/src/gateway/internal/waiting_streams.cc
+++ b/src/gateway/internal/waiting_streams.cc
@@ -9,25 +9,25 @@
 // heard of by their loads, which get lost.
 constexpr Duration kInterval = 40ms;
 // One that was computed for and lost its place waits so long for another.
-constexpr Duration kResumePatience = 800ms;
+constexpr Duration kMaxResumeWait = 800ms;
 
 }  // namespace
 
 void WaitingStreams::Add(const std::shared_ptr<StreamRelay>& relay) {
   AdmissionQueue& queue = relay->job().state->queue;
   const AdmissionQueue::Ticket ticket = this->TicketOf(*relay);
-  AdmissionQueue::Verdict verdict = queue.Ask(ticket);
+  AdmissionQueue::Decision decision = queue.CheckAdmission(ticket);
   const bool was_admitted = this->admitted.contains(relay.get());
   if (was_admitted || ticket.rank == TicketRank::kResumed) {
-    verdict.admitted = true;
+    decision.admitted = true;
   }
   if (!was_admitted) {
-    this->NoteVerdict(*relay, ticket, verdict);
+    this->LogDecision(*relay, ticket, decision);
   }
-  if (!verdict.admitted) {
+  if (!decision.admitted) {
     relay->Refuse(ResultCode::kDeadlineUnreachable,
-                  queue.NextReturn(ticket.kv_tokens, relay->TimeLeft(),
-                                   this->Now(), this->context.random));
+                  queue.NextRetryDelay(ticket.kv_tokens, relay->TimeLeft(),
+                                       this->Now(), this->context.random));
     return;
   }
   this->admitted.insert(relay.get());
@@ -50,31 +50,32 @@
       .arrived = job.arrived};
   if (relay.resumed()) {
     ticket.rank = TicketRank::kResumed;
-    ticket.gives_up_at = this->Now() + kResumePatience;
+    ticket.expires_at = this->Now() + kMaxResumeWait;
   }
   return ticket;
 }
 
-void WaitingStreams::NoteVerdict(const StreamRelay& relay,
-                                 const AdmissionQueue::Ticket& ticket,
-                                 const AdmissionQueue::Verdict& verdict) const {
+void WaitingStreams::LogDecision(
+    const StreamRelay& relay,
+    const AdmissionQueue::Ticket& ticket,
+    const AdmissionQueue::Decision& decision) const {
   const RelayJob& job = relay.job();
   const double fill = this->context.streams.PoolFill(
-      *job.traits->engine, this->context.catalog.Of(job.service));
-  this->context.hooks.note(
-      verdict.admitted ? log::Level::kInfo : log::Level::kWarning,
-      verdict.admitted ? "stream_waits" : "stream_turned_away",
+      *job.traits->engine, this->context.catalog.ForService(job.service));
+  this->context.hooks.log(
+      decision.admitted ? log::Level::kInfo : log::Level::kWarning,
+      decision.admitted ? "stream_waits" : "stream_turned_away",
       {.request_name = job.request.id,
        .fields = {{"service", job.service},
                   {"rank", NameOf(kTicketRankNames, ticket.rank)},
                   {"waiting", job.state->queue.size()},
                   {"waiting_tokens", job.state->queue.waiting_tokens()},
                   {"pool_fill", fill},
-                  {"expected_wait_ms", verdict.expected_wait},
+                  {"expected_wait_ms", decision.expected_wait},
                   {"age_ms", relay.Age()},
                   {"spent_ms", job.spent},
                   {"left_ms", relay.TimeLeft()},
-                  {"peers", this->context.book.peers()}}});
+                  {"peers", this->context.load_table.peers()}}});
 }
 
 void WaitingStreams::Remove(const Relay& relay) {
@@ -88,10 +89,10 @@
   }
 }
 
-void WaitingStreams::OnRoom(const ServiceName& service) {
+void WaitingStreams::OnCapacityFreed(const ServiceName& service) {
   for (const auto& [ticket, relay] : this->waiting) {
     if (relay->job().service == service) {
-      this->rooms.insert(&relay->job().state->queue);
+      this->freed_queues.insert(&relay->job().state->queue);
       this->PlaceSoon();
       return;
     }
@@ -99,9 +100,9 @@
 }
 
 void WaitingStreams::PlaceSoon() {
-  if (this->soon_alarm == 0) {
-    this->soon_alarm = this->context.alarms.Set(this->Now(), [this] {
-      this->soon_alarm = 0;
+  if (this->soon_timer == 0) {
+    this->soon_timer = this->context.timers.Set(this->Now(), [this] {
+      this->soon_timer = 0;
       this->PlaceWaiting();
     });
   }
@@ -109,7 +110,7 @@
 
 void WaitingStreams::PlaceAll() {
   for (const auto& [ticket, relay] : this->waiting) {
-    this->rooms.insert(&relay->job().state->queue);
+    this->freed_queues.insert(&relay->job().state->queue);
   }
   this->PlaceWaiting();
 }
@@ -119,16 +120,16 @@
     return;
   }
   this->placing = true;
-  while (!this->rooms.empty()) {
-    AdmissionQueue* const queue = *this->rooms.begin();
-    this->rooms.erase(this->rooms.begin());
+  while (!this->freed_queues.empty()) {
+    AdmissionQueue* const queue = *this->freed_queues.begin();
+    this->freed_queues.erase(this->freed_queues.begin());
     this->PlaceAt(*queue);
   }
   this->placing = false;
 }
 
 void WaitingStreams::PlaceAt(AdmissionQueue& queue) {
-  for (const TicketId ticket : queue.GivenUp(this->Now())) {
+  for (const TicketId ticket : queue.Expired(this->Now())) {
     const auto relay = this->waiting.at(ticket);
     relay->GiveUpWaiting();
   }
@@ -144,11 +145,11 @@
 }
 
 void WaitingStreams::Watch() {
-  if (this->watch_alarm != 0) {
+  if (this->watch_timer != 0) {
     return;
   }
-  this->watch_alarm = this->context.alarms.Set(this->Now() + kInterval, [this] {
-    this->watch_alarm = 0;
+  this->watch_timer = this->context.timers.Set(this->Now() + kInterval, [this] {
+    this->watch_timer = 0;
     this->PlaceAll();
     if (!this->waiting.empty()) {
       this->Watch();
--- a/src/gateway/internal/waiting_streams.h
+++ b/src/gateway/internal/waiting_streams.h
@@ -29,7 +29,7 @@
 
   // There may be room at a service. Placed soon, and not from within the call:
   // who frees a place may take it again.
-  void OnRoom(const ServiceName& service);
+  void OnCapacityFreed(const ServiceName& service);
 
   // There may be room anywhere.
   void PlaceAll();
@@ -39,9 +39,9 @@
  private:
   Instant Now() const { return this->context.hooks.now(); }
   AdmissionQueue::Ticket TicketOf(const StreamRelay& relay);
-  void NoteVerdict(const StreamRelay& relay,
+  void LogDecision(const StreamRelay& relay,
                    const AdmissionQueue::Ticket& ticket,
-                   const AdmissionQueue::Verdict& verdict) const;
+                   const AdmissionQueue::Decision& decision) const;
   void PlaceSoon();
   void PlaceWaiting();
   void PlaceAt(AdmissionQueue& queue);
@@ -50,9 +50,9 @@
   RelayContext& context;
   std::unordered_map<TicketId, std::shared_ptr<StreamRelay>> waiting;
   std::set<const Relay*> admitted;
-  std::set<AdmissionQueue*> rooms;  // that may have room
-  AlarmId watch_alarm = 0;
-  AlarmId soon_alarm = 0;
+  std::set<AdmissionQueue*> freed_queues;  // that may have room
+  TimerId watch_timer = 0;
+  TimerId soon_timer = 0;
   TicketId last_ticket = 0;
   bool placing = false;
 };
--- a/src/gateway/order_turn.cc
+++ b/src/gateway/leader_term.cc
@@ -1,8 +1,8 @@
-#include "gateway/order_turn.h"
+#include "gateway/leader_term.h"
 
 namespace acacialug::gateway {
 
-void OrderTurn::SetFirst(bool first, Instant now) {
+void LeaderTerm::SetFirst(bool first, Instant now) {
   if (!first) {
     this->first_since = kNever;
   } else if (this->first_since == kNever) {
@@ -10,33 +10,33 @@
   }
 }
 
-bool OrderTurn::MayClaim(Instant now) const {
+bool LeaderTerm::MayAcquire(Instant now) const {
   return this->first_since != kNever &&
          now >= this->first_since + this->options.first_for &&
-         now >= this->claimed_at + this->options.interval &&
+         now >= this->acquiring_since + this->options.interval &&
          now >= this->orders_from;
 }
 
-void OrderTurn::NoteClaiming(Instant now) {
-  this->claimed_at = now;
+void LeaderTerm::NoteAcquiring(Instant now) {
+  this->acquiring_since = now;
 }
 
-std::optional<std::uint64_t> OrderTurn::OnClaim(std::optional<TurnClaim> claim,
-                                                Instant now) {
+std::optional<std::uint64_t> LeaderTerm::OnGrant(std::optional<TermGrant> grant,
+                                                 Instant now) {
   // An answer that took long is no turn any more: this process, or the store's
   // answer, stood still meanwhile.
-  if (!claim || now > this->claimed_at + this->options.interval) {
+  if (!grant || now > this->acquiring_since + this->options.interval) {
     this->holds = false;
     return std::nullopt;
   }
-  if (!this->holds && claim->after_another) {
+  if (!this->holds && grant->after_another) {
     this->orders_from = now + this->options.pause;
   }
   this->holds = true;
   if (now < this->orders_from) {
     return std::nullopt;
   }
-  return claim->fence;
+  return grant->fencing_token;
 }
 
 }  // namespace acacialug::gateway
--- a/src/gateway/order_turn.h
+++ b/src/gateway/leader_term.h
@@ -1,5 +1,5 @@
-#ifndef GATEWAY_ORDER_TURN_H_
-#define GATEWAY_ORDER_TURN_H_
+#ifndef GATEWAY_LEADER_TERM_H_
+#define GATEWAY_LEADER_TERM_H_
 
 #include <cstdint>
 #include <optional>
@@ -9,9 +9,9 @@
 namespace acacialug::gateway {
 
 // A turn that the store granted: one process at a time holds the newest.
-struct TurnClaim {
-  std::uint64_t fence = 0;     // rises with each grant, over restarts too
-  bool after_another = false;  // the turn before was another process's
+struct TermGrant {
+  std::uint64_t fencing_token = 0;  // rises with each grant, over restarts too
+  bool after_another = false;       // the turn before was another process's
 };
 
 // When this process may give orders to endpoints. Two processes that order the
@@ -20,7 +20,7 @@
 // orders needs a new claim that the store grants only to who knows the newest,
 // and one who takes over waits until an order of the holder before, sent just
 // before it lost the turn, has arrived. Not thread safe.
-class OrderTurn {
+class LeaderTerm {
  public:
   struct Options {
     // A process must be the first for so long before it claims: a peer that
@@ -32,27 +32,27 @@
     Duration interval = 2s;
   };
 
-  explicit OrderTurn(Options turn_options) : options(turn_options) {}
+  explicit LeaderTerm(Options term_options) : options(term_options) {}
 
   // Whether this process is the first of those that it hears, itself included.
   void SetFirst(bool first, Instant now);
 
   // Whether to ask the store for a turn now.
-  bool MayClaim(Instant now) const;
-  void NoteClaiming(Instant now);
+  bool MayAcquire(Instant now) const;
+  void NoteAcquiring(Instant now);
   // The store's answer; empty: not granted. Returns the fence to order with
   // now; empty: not yet.
-  std::optional<std::uint64_t> OnClaim(std::optional<TurnClaim> claim,
+  std::optional<std::uint64_t> OnGrant(std::optional<TermGrant> grant,
                                        Instant now);
 
  private:
   const Options options;
   Instant first_since = kNever;
-  Instant claimed_at{};
+  Instant acquiring_since{};
   Instant orders_from{};
   bool holds = false;
 };
 
 }  // namespace acacialug::gateway
 
-#endif  // GATEWAY_ORDER_TURN_H_
+#endif  // GATEWAY_LEADER_TERM_H_
--- a/src/gateway/load_book.cc
+++ b/src/gateway/load_table.cc
@@ -1,4 +1,4 @@
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 
 #include <algorithm>
 
@@ -6,21 +6,21 @@
 
 namespace acacialug::gateway {
 
-std::uint64_t LoadBook::KeyOf(const EndpointId& endpoint) {
+std::uint64_t LoadTable::KeyOf(const EndpointId& endpoint) {
   return placement::HashText(endpoint.text);
 }
 
-void LoadBook::TellChange() const {
+void LoadTable::NotifyChange() const {
   if (this->own_change) {
     this->own_change();
   }
 }
 
-void LoadBook::AddTotal(std::uint64_t key, const EndpointLoad& load) {
+void LoadTable::AddTotal(std::uint64_t key, const EndpointLoad& load) {
   this->totals[key] += load;
 }
 
-void LoadBook::TakeFromTotal(std::uint64_t key, const EndpointLoad& load) {
+void LoadTable::TakeFromTotal(std::uint64_t key, const EndpointLoad& load) {
   const auto total = this->totals.find(key);
   if (total == this->totals.end()) {
     return;
@@ -31,36 +31,37 @@
   }
 }
 
-void LoadBook::DropTold(const Told& peer) {
+void LoadTable::DropReported(const Reported& peer) {
   for (const auto& [key, load] : peer.loads) {
     this->TakeFromTotal(key, load);
   }
 }
 
-void LoadBook::Add(const EndpointId& endpoint,
-                   const EndpointLoad& load,
-                   std::int64_t born) {
-  Placed& placed = this->own[endpoint];
-  if (born < placed.born) {
+void LoadTable::Add(const EndpointId& endpoint,
+                    const EndpointLoad& load,
+                    std::int64_t started_at_ms) {
+  Placed& placed = this->own_loads[endpoint];
+  if (started_at_ms < placed.started_at_ms) {
     return;
   }
   const std::uint64_t key = KeyOf(endpoint);
-  if (born > placed.born) {
+  if (started_at_ms > placed.started_at_ms) {
     if (!placed.load.empty()) {
       this->TakeFromTotal(key, placed.load);
     }
-    placed = {.born = born};
+    placed = {.started_at_ms = started_at_ms};
   }
   placed.load += load;
   this->AddTotal(key, load);
-  this->TellChange();
+  this->NotifyChange();
 }
 
-void LoadBook::Remove(const EndpointId& endpoint,
-                      const EndpointLoad& load,
-                      std::int64_t born) {
-  const auto found = this->own.find(endpoint);
-  if (found == this->own.end() || found->second.born != born) {
+void LoadTable::Remove(const EndpointId& endpoint,
+                       const EndpointLoad& load,
+                       std::int64_t started_at_ms) {
+  const auto found = this->own_loads.find(endpoint);
+  if (found == this->own_loads.end() ||
+      found->second.started_at_ms != started_at_ms) {
     return;
   }
   found->second.load -= load;
@@ -68,27 +69,27 @@
     this->TakeFromTotal(KeyOf(endpoint), load);
   }
   if (found->second.load.empty()) {
-    this->own.erase(found);
+    this->own_loads.erase(found);
   }
-  this->TellChange();
+  this->NotifyChange();
 }
 
-void LoadBook::Forget(const EndpointId& endpoint) {
+void LoadTable::Forget(const EndpointId& endpoint) {
   const std::uint64_t key = KeyOf(endpoint);
-  for (auto& [peer, entry] : this->told) {
+  for (auto& [peer, entry] : this->reported) {
     entry.loads.erase(key);
   }
   this->totals.erase(key);
-  if (this->own.erase(endpoint) > 0) {
-    this->TellChange();
+  if (this->own_loads.erase(endpoint) > 0) {
+    this->NotifyChange();
   }
 }
 
-void LoadBook::SetPeer(const std::string& peer,
-                       const PeerLoad& load,
-                       Instant now) {
-  Told& entry = this->told[peer];
-  this->DropTold(entry);
+void LoadTable::SetPeer(const std::string& peer,
+                        const PeerLoad& load,
+                        Instant now) {
+  Reported& entry = this->reported[peer];
+  this->DropReported(entry);
   entry.at = now;
   entry.near = load.near;
   entry.loads.clear();
@@ -102,25 +103,25 @@
   }
 }
 
-void LoadBook::Sweep(Instant now) {
-  std::erase_if(this->told, [this, now](const auto& peer) {
+void LoadTable::Sweep(Instant now) {
+  std::erase_if(this->reported, [this, now](const auto& peer) {
     const bool silent = peer.second.at + kPeerMemory < now;
     if (silent) {
-      this->DropTold(peer.second);
+      this->DropReported(peer.second);
     }
     return silent;
   });
 }
 
-EndpointLoad LoadBook::Of(const EndpointId& endpoint) const {
+EndpointLoad LoadTable::TotalAt(const EndpointId& endpoint) const {
   const auto total = this->totals.find(KeyOf(endpoint));
   return total == this->totals.end() ? EndpointLoad{} : total->second;
 }
 
-Duration LoadBook::NewsAge(Nearness from, Instant now) const {
+Duration LoadTable::ReportAge(Nearness from, Instant now) const {
   Duration sum{};
   std::int64_t count = 0;
-  for (const auto& [peer, entry] : this->told) {
+  for (const auto& [peer, entry] : this->reported) {
     if (entry.near == (from == Nearness::kNear)) {
       sum += now - entry.at;
       ++count;
@@ -129,18 +130,18 @@
   return count == 0 ? Duration::zero() : sum / count;
 }
 
-Duration LoadBook::OldestNews(Instant now) const {
+Duration LoadTable::OldestReportAge(Instant now) const {
   Duration oldest{};
-  for (const auto& [peer, entry] : this->told) {
+  for (const auto& [peer, entry] : this->reported) {
     oldest = std::max(oldest, now - entry.at);
   }
   return oldest;
 }
 
-PeerLoad LoadBook::Own() const {
+PeerLoad LoadTable::Own() const {
   PeerLoad load;
-  load.rows.reserve(this->own.size());
-  for (const auto& [endpoint, placed] : this->own) {
+  load.rows.reserve(this->own_loads.size());
+  for (const auto& [endpoint, placed] : this->own_loads) {
     load.rows.push_back({.endpoint_key = KeyOf(endpoint), .load = placed.load});
   }
   return load;
--- a/src/gateway/peer_rounds.cc
+++ b/src/gateway/peer_rounds.cc
@@ -6,9 +6,9 @@
 namespace {
 
 // Between two heartbeats to a peer, for up to kFewPeers of them.
-constexpr Duration kLeastInterval = 20ms;
+constexpr Duration kMinInterval = 20ms;
 constexpr std::size_t kFewPeers = 5;
-constexpr Duration kLeastSilence = 800ms;  // two keep-alives
+constexpr Duration kMinHeartbeatTimeout = 800ms;  // two keep-alives
 // Up to so many all are told alike.
 constexpr std::size_t kManyPeers = 25;
 
@@ -16,13 +16,14 @@
 
 Duration RoundInterval(std::size_t peers, std::size_t group) {
   const bool split = peers > kManyPeers;
-  const std::size_t told = split ? 2 * group : peers;
-  return kLeastInterval * static_cast<std::int64_t>(std::max(told, kFewPeers)) /
+  const std::size_t receivers = split ? 2 * group : peers;
+  return kMinInterval *
+         static_cast<std::int64_t>(std::max(receivers, kFewPeers)) /
          static_cast<std::int64_t>(kFewPeers);
 }
 
-Duration SilenceOf(std::size_t peers) {
-  return std::max(kLeastSilence, 2 * RoundInterval(peers, peers));
+Duration HeartbeatTimeout(std::size_t peers) {
+  return std::max(kMinHeartbeatTimeout, 2 * RoundInterval(peers, peers));
 }
 
 }  // namespace acacialug::gateway
--- a/src/gateway/peer_rounds.h
+++ b/src/gateway/peer_rounds.h
@@ -20,7 +20,7 @@
 
 // After which one of so many peers that tells nothing is taken for silent: some
 // of its heartbeats may be lost. Thread safe.
-Duration SilenceOf(std::size_t peers);
+Duration HeartbeatTimeout(std::size_t peers);
 
 }  // namespace acacialug::gateway
 
--- a/src/gateway/repeat_budget.cc
+++ b/src/gateway/repeat_budget.cc
@@ -7,11 +7,11 @@
 
 // Bounds the memory of a window under a flood; what is forgotten only makes
 // the budget smaller.
-constexpr std::size_t kMostKept = 20000;
+constexpr std::size_t kMaxKept = 20000;
 
 void DropBefore(std::deque<Instant>& times, Instant oldest) {
   while (!times.empty() &&
-         (times.front() <= oldest || times.size() > kMostKept)) {
+         (times.front() <= oldest || times.size() > kMaxKept)) {
     times.pop_front();
   }
 }
--- a/src/gateway/role_planner.cc
+++ b/src/gateway/role_planner.cc
@@ -7,9 +7,9 @@
 namespace {
 
 // Requests that the means stand for, once there are many.
-constexpr std::uint32_t kMostCounted = 50;
+constexpr std::uint32_t kMaxCounted = 50;
 // The same of the newest look at what is in use; they are half a second apart.
-constexpr double kNewestLook = 0.25;
+constexpr double kNewestWeight = 0.25;
 // Below this number of endpoints one prefill endpoint must do; above, the loss
 // of one must leave another.
 constexpr std::size_t kSpareFrom = 6;
@@ -20,8 +20,8 @@
 // How much of an endpoint is in use, 0 to 1.
 double Used(const EndpointRecord& endpoint,
             const EngineTraits& engine,
-            const LoadBook& book) {
-  const EndpointLoad load = book.Of(endpoint.id);
+            const LoadTable& load_table) {
+  const EndpointLoad load = load_table.TotalAt(endpoint.id);
   if (endpoint.role == EndpointRole::kPrefill) {
     return load.prefill_tokens > 0 ? 1 : 0;
   }
@@ -35,10 +35,10 @@
 // Endpoints that the others of the same role can do without now.
 std::size_t Spare(const std::vector<const EndpointRecord*>& endpoints,
                   const EngineTraits& engine,
-                  const LoadBook& book) {
+                  const LoadTable& load_table) {
   double used = 0;
   for (const EndpointRecord* const endpoint : endpoints) {
-    used += Used(*endpoint, engine, book);
+    used += Used(*endpoint, engine, load_table);
   }
   const auto needed = static_cast<std::size_t>(std::ceil(used / kWellUsed));
   return endpoints.size() - std::min(endpoints.size(), needed);
@@ -47,12 +47,12 @@
 // The part of the prefill endpoints that is in use.
 double PrefillUse(const std::vector<const EndpointRecord*>& endpoints,
                   const EngineTraits& engine,
-                  const LoadBook& book) {
+                  const LoadTable& load_table) {
   double used = 0;
   double all = 0;
   for (const EndpointRecord* const endpoint : endpoints) {
     if (endpoint->role == EndpointRole::kPrefill) {
-      used += Used(*endpoint, engine, book);
+      used += Used(*endpoint, engine, load_table);
       all += 1;
     }
   }
@@ -66,7 +66,7 @@
 }  // namespace
 
 void RolePlanner::NoteRequest(const GenerationSize& size) {
-  this->own.requests = std::min(this->own.requests + 1, kMostCounted);
+  this->own.requests = std::min(this->own.requests + 1, kMaxCounted);
   const double weight = 1.0 / this->own.requests;
   this->own.prompt_tokens = Blend(
       this->own.prompt_tokens, static_cast<double>(size.prompt_tokens), weight);
@@ -83,8 +83,8 @@
 
 forecast::RequestSizes RolePlanner::Sizes() const {
   forecast::RequestSizes all = this->own;
-  for (const auto& [peer, told] : this->peers) {
-    const forecast::RequestSizes& more = told.sizes;
+  for (const auto& [peer, reported] : this->peers) {
+    const forecast::RequestSizes& more = reported.sizes;
     all.requests += more.requests;
     const double weight = static_cast<double>(more.requests) /
                           std::max<std::uint32_t>(all.requests, 1);
@@ -98,7 +98,7 @@
                                  const forecast::ServiceForecast& forecast,
                                  double headroom) const {
   const forecast::RequestSizes sizes = this->Sizes();
-  if (sizes.requests < this->options.first_requests || engine.kv_tokens == 0) {
+  if (sizes.requests < this->options.min_requests || engine.kv_tokens == 0) {
     return 0;
   }
   const auto prompt = static_cast<std::uint64_t>(sizes.prompt_tokens);
@@ -125,23 +125,24 @@
   const double most =
       this->PrefillShare(engine, forecast, this->options.prefill_headroom);
   const double least =
-      this->PrefillShare(engine, forecast, this->options.least_headroom);
+      this->PrefillShare(engine, forecast, this->options.min_headroom);
   return {.share = most,
-          .least = std::max(
-              fewest, static_cast<std::size_t>(std::floor(least * count))),
-          .most = std::max(fewest,
-                           static_cast<std::size_t>(std::ceil(most * count)))};
+          .min = std::max(fewest,
+                          static_cast<std::size_t>(std::floor(least * count))),
+          .max = std::max(fewest,
+                          static_cast<std::size_t>(std::ceil(most * count)))};
 }
 
 std::size_t RolePlanner::AtOnce(const std::vector<const EndpointRecord*>& from,
                                 std::size_t endpoints,
                                 const EngineTraits& engine,
-                                const LoadBook& book) const {
+                                const LoadTable& load_table) const {
   const auto share = static_cast<std::size_t>(this->options.share_at_once *
                                               static_cast<double>(endpoints));
-  const std::size_t spare = this->Sizes().requests < this->options.sure_requests
-                                ? 0
-                                : Spare(from, engine, book);
+  const std::size_t spare =
+      this->Sizes().requests < this->options.min_requests_for_spare
+          ? 0
+          : Spare(from, engine, load_table);
   return std::max<std::size_t>({1, share, spare});
 }
 
@@ -149,7 +150,7 @@
     const EngineTraits& engine,
     const forecast::ServiceForecast& forecast,
     const std::vector<const EndpointRecord*>& endpoints,
-    const LoadBook& book,
+    const LoadTable& load_table,
     Instant now) {
   std::erase_if(this->switching,
                 [now](const auto& entry) { return entry.second.until <= now; });
@@ -163,22 +164,24 @@
     (endpoint->role == EndpointRole::kPrefill ? prefill : decode)
         .push_back(endpoint);
   }
-  const bool too_many = prefill.size() > bounds.most;
-  const bool too_few =
-      prefill.size() < bounds.least && this->prefill_use >= this->options.busy;
+  const bool too_many = prefill.size() > bounds.max;
+  const bool too_few = prefill.size() < bounds.min &&
+                       this->prefill_use >= this->options.min_prefill_use;
   if (!too_many && !too_few) {
     return {};
   }
   std::vector<const EndpointRecord*>& from = too_many ? prefill : decode;
   const std::size_t difference =
-      too_many ? prefill.size() - bounds.most : bounds.most - prefill.size();
+      too_many ? prefill.size() - bounds.max : bounds.max - prefill.size();
   const std::size_t at_once =
-      this->AtOnce(from, endpoints.size(), engine, book);
+      this->AtOnce(from, endpoints.size(), engine, load_table);
   // The least busy ones: what runs there goes on to its end first.
-  std::sort(from.begin(), from.end(),
-            [&book](const EndpointRecord* left, const EndpointRecord* right) {
-              return book.Of(left->id).requests < book.Of(right->id).requests;
-            });
+  std::sort(
+      from.begin(), from.end(),
+      [&load_table](const EndpointRecord* left, const EndpointRecord* right) {
+        return load_table.TotalAt(left->id).requests <
+               load_table.TotalAt(right->id).requests;
+      });
   from.resize(std::min({from.size() - 1, difference, at_once}));
   std::vector<RoleChange> changes;
   changes.reserve(from.size());
@@ -196,18 +199,19 @@
                               Instant now) {
   this->switching[change.endpoint.id] = {
       .role = change.role,
-      .until = now + engine.role_switch + this->options.settle};
+      .until = now + engine.role_switch + this->options.record_delay};
 }
 
 void RolePlanner::Watch(const EngineTraits& engine,
                         const std::vector<const EndpointRecord*>& endpoints,
-                        const LoadBook& book,
+                        const LoadTable& load_table,
                         Instant now) {
   std::erase_if(this->peers, [this, now](const auto& entry) {
     return now - entry.second.at >= this->options.peer_memory;
   });
-  this->prefill_use = Blend(this->prefill_use,
-                            PrefillUse(endpoints, engine, book), kNewestLook);
+  this->prefill_use =
+      Blend(this->prefill_use, PrefillUse(endpoints, engine, load_table),
+            kNewestWeight);
   for (const EndpointRecord* const endpoint : endpoints) {
     const auto found = this->switching.find(endpoint->id);
     if (found == this->switching.end()) {
@@ -215,8 +219,9 @@
     }
     if (endpoint->role == found->second.role) {
       this->switching.erase(found);
-    } else if (book.Of(endpoint->id).requests > 0) {
-      found->second.until = now + engine.role_switch + this->options.settle;
+    } else if (load_table.TotalAt(endpoint->id).requests > 0) {
+      found->second.until =
+          now + engine.role_switch + this->options.record_delay;
     }
   }
 }
@@ -225,7 +230,7 @@
   std::vector<EndpointPause> pauses;
   for (const auto& [endpoint, change] : this->switching) {
     if (change.until > now) {
-      pauses.push_back({.endpoint_key = LoadBook::KeyOf(endpoint),
+      pauses.push_back({.endpoint_key = LoadTable::KeyOf(endpoint),
                         .left = change.until - now});
     }
   }
--- a/src/gateway/role_planner.h
+++ b/src/gateway/role_planner.h
@@ -10,7 +10,7 @@
 #include "forecast/service_forecast.h"
 #include "forecast/types/request_sizes.h"
 #include "framework/global/types/instant.h"
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 #include "gateway/types/configuration.h"
 #include "gateway/types/endpoint_record.h"
 #include "gateway/types/work_request.h"
@@ -42,10 +42,10 @@
     // rounded up: each of them holds no answers.
     double prefill_headroom = 1.0;
     // With less than this of it the prefill endpoints hold the answers up.
-    double least_headroom = 0.75;
+    double min_headroom = 0.75;
     // Requests whose sizes are known, here or from peers, before anything is
     // decided.
-    std::uint32_t first_requests = 12;
+    std::uint32_t min_requests = 12;
     // What a peer told counts for so long.
     Duration peer_memory = 10s;
     // Share of the endpoints that are switched at the same time, at most; one
@@ -55,13 +55,13 @@
     // Requests that must be known for that. Sizes differ by a half and answers
     // by more; by the first few a third of the endpoints would be switched, and
     // back again.
-    std::uint32_t sure_requests = 30;
+    std::uint32_t min_requests_for_spare = 30;
     // Part of the prefill endpoints that must have been in use, over the last
     // seconds, before more are made.
-    double busy = 0.6;
+    double min_prefill_use = 0.6;
     // Beyond the engine's own time for a switch, until its record must show it:
     // what runs there ends first, and the record is read each half second.
-    Duration settle = 1500ms;
+    Duration record_delay = 1500ms;
   };
 
   explicit RolePlanner(Options planner_options) : options(planner_options) {}
@@ -81,7 +81,7 @@
       const EngineTraits& engine,
       const forecast::ServiceForecast& forecast,
       const std::vector<const EndpointRecord*>& endpoints,
-      const LoadBook& book,
+      const LoadTable& load_table,
       Instant now);
 
   // A switch is about to be ordered.
@@ -98,7 +98,7 @@
   // each prompt that was computed for it, which uses up the repeat budget.
   void Watch(const EngineTraits& engine,
              const std::vector<const EndpointRecord*>& endpoints,
-             const LoadBook& book,
+             const LoadTable& load_table,
              Instant now);
 
   // Endpoints that change their role now, and for how long yet.
@@ -113,8 +113,8 @@
   // How many of the endpoints should prefill.
   struct Bounds {
     double share = 0;  // 0: not known
-    std::size_t least = 0;
-    std::size_t most = 0;
+    std::size_t min = 0;
+    std::size_t max = 0;
   };
 
   Bounds PrefillBounds(const EngineTraits& engine,
@@ -124,7 +124,7 @@
   std::size_t AtOnce(const std::vector<const EndpointRecord*>& from,
                      std::size_t endpoints,
                      const EngineTraits& engine,
-                     const LoadBook& book) const;
+                     const LoadTable& load_table) const;
 
   const Options options;
   // Of all processes.
--- a/src/gateway/stream_placement.cc
+++ b/src/gateway/stream_placement.cc
@@ -27,9 +27,9 @@
 }  // namespace
 
 StreamPlacement::StreamPlacement(Options placement_options,
-                                 const LoadBook& load_book,
+                                 const LoadTable& table,
                                  const EndpointHealth& endpoint_health)
-    : options(placement_options), book(load_book), health(endpoint_health) {}
+    : options(placement_options), load_table(table), health(endpoint_health) {}
 
 std::uint64_t StreamPlacement::KvTokens(const GenerationSize& size,
                                         std::uint64_t made) const {
@@ -46,9 +46,9 @@
     const forecast::ServiceForecast& forecast,
     const std::vector<const EndpointRecord*>& endpoints,
     RandomSource& random) const {
-  const double room =
-      (need.yields ? this->options.yielding_fill : this->options.fill) *
-      static_cast<double>(engine.kv_tokens);
+  const double room = (need.low_priority ? this->options.low_priority_fill
+                                         : this->options.fill) *
+                      static_cast<double>(engine.kv_tokens);
   const auto wanted = static_cast<double>(this->KvTokens(need.size));
   Candidates candidates(need.domain);
   bool sound = false;
@@ -56,7 +56,7 @@
     if (endpoint->role != EndpointRole::kDecode) {
       continue;
     }
-    const EndpointLoad load = this->book.Of(endpoint->id);
+    const EndpointLoad load = this->load_table.TotalAt(endpoint->id);
     const auto held = static_cast<double>(load.kv_tokens);
     candidates.NotePlaced(*endpoint, held / room);
     if (this->health.Paused(endpoint->id, need.now)) {
@@ -73,8 +73,8 @@
         load.prefill_tokens > 0 && need.longest_pause > Duration::zero() &&
         forecast.PromptPause(load.prefill_tokens) > need.longest_pause;
     const CandidateRank rank = avoided   ? CandidateRank::kAvoided
-                               : held_up ? CandidateRank::kHeldUp
-                                         : CandidateRank::kSound;
+                               : held_up ? CandidateRank::kPrefillBusy
+                                         : CandidateRank::kHealthy;
     candidates.Add(
         *endpoint, rank,
         held / room + random.Unit() * kSpread +
@@ -85,7 +85,8 @@
       FromSeconds(static_cast<double>(need.size.expected_output_tokens) *
                   forecast.TokenMs() / 1000);
   const Candidates::Choice chosen = candidates.Choose(
-      PlacementNews::Of(this->book, hold, need.now), kOtherDomainFill, random);
+      LoadStaleness::Measure(this->load_table, hold, need.now),
+      kOtherDomainFill, random);
   // A dead endpoint looks empty. While others live, one that is full is better
   // waited for than this one asked.
   return sound && chosen.rank == CandidateRank::kAvoided ? nullptr
@@ -95,13 +96,13 @@
 Duration StreamPlacement::PrefillTime(const EndpointRecord& endpoint,
                                       const forecast::ServiceForecast& forecast,
                                       std::uint64_t prompt_tokens) const {
-  const EndpointLoad load = this->book.Of(endpoint.id);
+  const EndpointLoad load = this->load_table.TotalAt(endpoint.id);
   const Duration usual = forecast.MarginalPrefillTime(load.prefill_tokens) +
                          forecast.PrefillTime(prompt_tokens);
   return FromSeconds(Seconds(usual) * this->health.Slowness(endpoint.id));
 }
 
-Duration StreamPlacement::LongestPrefillWait(
+Duration StreamPlacement::MaxPrefillWait(
     double decode_fill,
     const Need& need,
     const forecast::ServiceForecast& forecast) const {
@@ -112,7 +113,7 @@
   const Duration share = FromSeconds(part * Seconds(need.objective));
   // Who cannot be in time any more waits no less than others: its rank made it
   // yield to them already.
-  if (need.yields) {
+  if (need.low_priority) {
     return share;
   }
   return std::min(share, need.objective - need.waited - forecast.FirstEvent());
@@ -121,17 +122,18 @@
 // A prompt is computed in pieces between the steps of the endpoint's other
 // streams. Where engines read slowly, that holds each of them up for longer
 // than its caller allows, and all of them are late for the sake of one.
-bool StreamPlacement::MayComputePrompt(
-    const Place& place,
+bool StreamPlacement::MayPrefillLocally(
+    const Placement& placement,
     const Need& need,
     const forecast::ServiceForecast& forecast) const {
-  if (place.decode_fill > this->options.own_prefill_fill) {
+  if (placement.decode_fill > this->options.local_prefill_fill) {
     return false;
   }
-  if (forecast.LocalPrefillTime(need.size.prompt_tokens) > place.prefill_time) {
+  if (forecast.LocalPrefillTime(need.size.prompt_tokens) >
+      placement.prefill_time) {
     return false;
   }
-  return this->book.Of(place.decode.id).requests == 0 ||
+  return this->load_table.TotalAt(placement.decode.id).requests == 0 ||
          need.longest_pause == Duration::zero() ||
          forecast.PromptPause(need.size.prompt_tokens) <= need.longest_pause;
 }
@@ -147,9 +149,9 @@
     if (endpoint->role != EndpointRole::kPrefill) {
       continue;
     }
-    candidates.NotePlaced(*endpoint,
-                          Seconds(forecast.MarginalPrefillTime(
-                              this->book.Of(endpoint->id).prefill_tokens)));
+    candidates.NotePlaced(
+        *endpoint, Seconds(forecast.MarginalPrefillTime(
+                       this->load_table.TotalAt(endpoint->id).prefill_tokens)));
     if (WasTried(need.tried, endpoint->id) ||
         this->health.Paused(endpoint->id, need.now)) {
       continue;
@@ -157,7 +159,7 @@
     candidates.Add(*endpoint,
                    this->health.Avoided(endpoint->id, need.now)
                        ? CandidateRank::kAvoided
-                       : CandidateRank::kSound,
+                       : CandidateRank::kHealthy,
                    Seconds(this->PrefillTime(*endpoint, forecast,
                                              need.size.prompt_tokens)) *
                        (1 + random.Unit() * kSpread) *
@@ -165,12 +167,12 @@
   }
   const Duration one = forecast.PrefillTime(need.size.prompt_tokens);
   return candidates
-      .Choose(PlacementNews::Of(this->book, one, need.now),
+      .Choose(LoadStaleness::Measure(this->load_table, one, need.now),
               Seconds(kOtherDomainWait), random)
       .endpoint;
 }
 
-std::optional<StreamPlacement::Place> StreamPlacement::Pick(
+std::optional<StreamPlacement::Placement> StreamPlacement::Pick(
     const Need& need,
     const EngineTraits& engine,
     const forecast::ServiceForecast& forecast,
@@ -181,36 +183,38 @@
   if (decode == nullptr) {
     return std::nullopt;
   }
-  Place place{.decode = *decode,
-              .decode_load = {.requests = 1,
-                              .kv_tokens = this->KvTokens(need.size),
-                              .prefill_tokens = need.size.prompt_tokens}};
-  place.decode_fill =
-      static_cast<double>(this->book.Of(decode->id).kv_tokens) /
+  Placement placement{
+      .decode = *decode,
+      .decode_load = {.requests = 1,
+                      .kv_tokens = this->KvTokens(need.size),
+                      .prefill_tokens = need.size.prompt_tokens}};
+  placement.decode_fill =
+      static_cast<double>(this->load_table.TotalAt(decode->id).kv_tokens) /
       static_cast<double>(std::max<std::uint64_t>(engine.kv_tokens, 1));
   const EndpointRecord* const prefill =
       this->PickPrefill(need, decode->domain, forecast, endpoints, random);
   if (prefill == nullptr || this->health.Avoided(prefill->id, need.now)) {
-    return place;
+    return placement;
   }
-  place.prefill_time =
+  placement.prefill_time =
       this->PrefillTime(*prefill, forecast, need.size.prompt_tokens);
   const auto longer_than = [&](double fill) {
-    return place.prefill_time > this->LongestPrefillWait(fill, need, forecast);
+    return placement.prefill_time > this->MaxPrefillWait(fill, need, forecast);
   };
-  place.prefill_ahead = this->book.Of(prefill->id).prefill_tokens;
-  if (longer_than(1.0) && this->MayComputePrompt(place, need, forecast)) {
-    return place;
+  placement.prefill_ahead =
+      this->load_table.TotalAt(prefill->id).prefill_tokens;
+  if (longer_than(1.0) && this->MayPrefillLocally(placement, need, forecast)) {
+    return placement;
   }
   // A prompt so long that it is late at an idle endpoint is late anywhere.
-  if (longer_than(place.decode_fill) && place.prefill_ahead > 0) {
+  if (longer_than(placement.decode_fill) && placement.prefill_ahead > 0) {
     return std::nullopt;
   }
-  place.decode_load.prefill_tokens = 0;
-  place.prefill = *prefill;
-  place.prefill_load = {.requests = 1,
-                        .prefill_tokens = need.size.prompt_tokens};
-  return place;
+  placement.decode_load.prefill_tokens = 0;
+  placement.prefill = *prefill;
+  placement.prefill_load = {.requests = 1,
+                            .prefill_tokens = need.size.prompt_tokens};
+  return placement;
 }
 
 double StreamPlacement::PoolFill(
@@ -220,7 +224,8 @@
   double room = 0;
   for (const EndpointRecord* const endpoint : endpoints) {
     if (endpoint->role == EndpointRole::kDecode) {
-      held += static_cast<double>(this->book.Of(endpoint->id).kv_tokens);
+      held +=
+          static_cast<double>(this->load_table.TotalAt(endpoint->id).kv_tokens);
       room += static_cast<double>(engine.kv_tokens);
     }
   }
--- a/src/gateway/stream_placement.h
+++ b/src/gateway/stream_placement.h
@@ -8,7 +8,7 @@
 #include "framework/global/random_source.h"
 #include "gateway/endpoint_catalog.h"
 #include "gateway/endpoint_health.h"
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 #include "gateway/types/configuration.h"
 #include "gateway/types/work_request.h"
 
@@ -38,7 +38,7 @@
     // refused in a burst come back after it and take the places of first tries,
     // which come back in their turn: the pool stays overloaded for the length
     // of the burst again.
-    double yielding_fill = 0.85;
+    double low_priority_fill = 0.85;
     // Tokens that a stream makes until others have heard of it and placed by
     // it.
     std::uint64_t growth = 300;
@@ -54,7 +54,7 @@
     // Up to this share of its memory taken, a decode endpoint computes a prompt
     // itself rather than have it wait longer: that slows its other streams,
     // which an endpoint with few of them can afford.
-    double own_prefill_fill = 0.7;
+    double local_prefill_fill = 0.7;
   };
 
   struct Need {
@@ -63,12 +63,12 @@
     Duration longest_pause{};  // between two events; zero: none is stated
     Duration waited{};
     std::vector<EndpointId> tried;  // not again
-    bool yields = false;            // takes only what others do not need
+    bool low_priority = false;      // takes only what others do not need
     FailureDomain domain;           // of this process
     Instant now;
   };
 
-  struct Place {
+  struct Placement {
     EndpointRecord decode;
     std::optional<EndpointRecord> prefill;  // empty: decode computes the prompt
     EndpointLoad decode_load;
@@ -79,15 +79,16 @@
   };
 
   StreamPlacement(Options placement_options,
-                  const LoadBook& load_book,
+                  const LoadTable& table,
                   const EndpointHealth& endpoint_health);
 
   // Empty: no endpoint has room now. `endpoints`: of the service, taking work.
-  std::optional<Place> Pick(const Need& need,
-                            const EngineTraits& engine,
-                            const forecast::ServiceForecast& forecast,
-                            const std::vector<const EndpointRecord*>& endpoints,
-                            RandomSource& random) const;
+  std::optional<Placement> Pick(
+      const Need& need,
+      const EngineTraits& engine,
+      const forecast::ServiceForecast& forecast,
+      const std::vector<const EndpointRecord*>& endpoints,
+      RandomSource& random) const;
 
   // Memory that a request is counted with, once it has made so many tokens.
   std::uint64_t KvTokens(const GenerationSize& size,
@@ -114,15 +115,15 @@
   Duration PrefillTime(const EndpointRecord& endpoint,
                        const forecast::ServiceForecast& forecast,
                        std::uint64_t prompt_tokens) const;
-  Duration LongestPrefillWait(double decode_fill,
-                              const Need& need,
-                              const forecast::ServiceForecast& forecast) const;
-  bool MayComputePrompt(const Place& place,
-                        const Need& need,
-                        const forecast::ServiceForecast& forecast) const;
+  Duration MaxPrefillWait(double decode_fill,
+                          const Need& need,
+                          const forecast::ServiceForecast& forecast) const;
+  bool MayPrefillLocally(const Placement& placement,
+                         const Need& need,
+                         const forecast::ServiceForecast& forecast) const;
 
   const Options options;
-  const LoadBook& book;
+  const LoadTable& load_table;
   const EndpointHealth& health;
 };
 
--- a/src/gateway/tests/burst_replay_test.cc
+++ b/src/gateway/tests/burst_replay_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "framework/testing/story.h"
-#include "gateway/tests/gateway_world.h"
+#include "gateway/tests/gateway_simulation.h"
 
 namespace acacialug::gateway {
 namespace {
@@ -16,11 +16,11 @@
 using acacialug::testing::It;
 using testing::Answer;
 using testing::Call;
-using testing::GatewayWorld;
+using testing::GatewaySimulation;
 
 // A pool in virtual time: decode endpoints that reserve and hold memory, and
 // prefill endpoints that compute one prompt after the other.
-class Pool : public GatewayWorld {
+class Pool : public GatewaySimulation {
  public:
   static constexpr std::uint64_t kMemory = 20000;
   static constexpr std::uint64_t kPrompt = 3000;
@@ -73,7 +73,7 @@
     constexpr Duration kStep = 5ms;
     const Instant end = this->now + time;
     while (this->now < end) {
-      this->Pass(std::min(kStep, end - this->now));
+      this->AdvanceBy(std::min(kStep, end - this->now));
       this->Play();
     }
   }
@@ -121,9 +121,9 @@
     this->asked.push_back(
         {.at = this->now,
          .deadline = deadline,
-         .answer =
-             this->Ask("/stream/a", "r" + std::to_string(this->asked.size()),
-                       "3000,900", static_cast<int>(deadline_ms.count()))});
+         .answer = this->SendRequest(
+             "/stream/a", "r" + std::to_string(this->asked.size()), "3000,900",
+             static_cast<int>(deadline_ms.count()))});
   }
 
   // Refusals come at once, so that they are seen at the next request.
