--- a/src/gateway/tests/customer_test.cc
+++ b/src/gateway/tests/customer_test.cc
@@ -5,14 +5,14 @@
 
 #include "framework/testing/story.h"
 #include "gateway/key_digest.h"
-#include "gateway/tests/gateway_world.h"
+#include "gateway/tests/gateway_simulation.h"
 
 namespace acacialug::gateway {
 namespace {
 
 using acacialug::testing::It;
 using testing::Answer;
-using testing::GatewayWorld;
+using testing::GatewaySimulation;
 using testing::HeaderOf;
 
 // So many requests of the default size.
@@ -28,7 +28,7 @@
           {.name = CustomerName("second"), .keys = {DigestOf("key 3")}}};
 }
 
-struct Keyed : GatewayWorld {
+struct Keyed : GatewaySimulation {
   explicit Keyed(const std::vector<Customer>& customers = Customers()) {
     this->Configure(customers);
     for (const char* const id : {"p1", "p2", "p3", "p4", "p5"}) {
@@ -36,15 +36,15 @@
     }
   }
 
-  std::shared_ptr<Answer> AskWith(const std::string& shown,
-                                  const std::string& path,
-                                  const std::string& id) {
+  std::shared_ptr<Answer> SendRequestWith(const std::string& shown,
+                                          const std::string& path,
+                                          const std::string& id) {
     this->key = shown;
-    return this->Ask(path, id);
+    return this->SendRequest(path, id);
   }
   // One of a call that is answered at once.
   int Status(const std::string& shown, const std::string& id) {
-    const auto answer = this->AskWith(shown, "/once/a", id);
+    const auto answer = this->SendRequestWith(shown, "/once/a", id);
     if (!answer->ended) {
       this->ReplyProof(this->Find("whole"), 200);
     }
@@ -56,134 +56,141 @@
     "a request on a route that needs a key",
     {It("is refused at once without one, or with one that nobody holds",
         [] {
-          Keyed world;
+          Keyed simulation;
           for (const char* const shown : {"", "key 4", "key 1 "}) {
-            const auto answer = world.AskWith(shown, "/once/a", "r");
+            const auto answer =
+                simulation.SendRequestWith(shown, "/once/a", "r");
             CPPUNIT_ASSERT_EQUAL(401, answer->status);
           }
-          CPPUNIT_ASSERT(world.Calls().empty());
+          CPPUNIT_ASSERT(simulation.Calls().empty());
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
-                               world.core->requests_under_way());
+                               simulation.core->requests_under_way());
         }),
      It("reaches an endpoint with its customer's name, and without its key",
         [] {
-          Keyed world;
-          world.AskWith("key 2", "/once/a", "r1");
+          Keyed simulation;
+          simulation.SendRequestWith("key 2", "/once/a", "r1");
           CPPUNIT_ASSERT_EQUAL(std::string("first"),
-                               HeaderOf(world.Find("whole"), "Customer"));
-          CPPUNIT_ASSERT(HeaderOf(world.Find("whole"), "Key").empty());
+                               HeaderOf(simulation.Find("whole"), "Customer"));
+          CPPUNIT_ASSERT(HeaderOf(simulation.Find("whole"), "Key").empty());
         }),
      It("goes by the keys of the configuration in force",
         [] {
-          Keyed world;
+          Keyed simulation;
           std::vector<Customer> fewer = Customers();
           fewer[0].keys.pop_back();
           fewer[1].keys.push_back(DigestOf("key 4"));
-          world.Configure(fewer);
-          CPPUNIT_ASSERT_EQUAL(401, world.Status("key 2", "r1"));
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("key 1", "r2"));
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("key 4", "r3"));
+          simulation.Configure(fewer);
+          CPPUNIT_ASSERT_EQUAL(401, simulation.Status("key 2", "r1"));
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r2"));
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 4", "r3"));
         }),
      It("needs none where the configuration has no customers",
         [] {
-          Keyed world;
-          world.Configure();
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("", "r1"));
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("key 1", "r2"));
+          Keyed simulation;
+          simulation.Configure();
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("", "r1"));
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r2"));
         }),
      It("is not known before there is a configuration, and may come again", [] {
-       GatewayWorld world;
-       world.key = "key 1";
-       CPPUNIT_ASSERT_EQUAL(503, world.Ask("/once/a", "r")->status);
+       GatewaySimulation simulation;
+       simulation.key = "key 1";
+       CPPUNIT_ASSERT_EQUAL(503,
+                            simulation.SendRequest("/once/a", "r")->status);
      })});
 
 const acacialug::testing::Story kOpen(
     "a request on a route that is open to all",
     {It("needs no key",
         [] {
-          Keyed world;
-          world.AskWith("", "/open/a", "r1");
-          CPPUNIT_ASSERT(HeaderOf(world.Find("whole"), "Customer").empty());
-          world.AskWith("key 4", "/open/a", "r2");
-          CPPUNIT_ASSERT(HeaderOf(world.Find("whole"), "Customer").empty());
+          Keyed simulation;
+          simulation.SendRequestWith("", "/open/a", "r1");
+          CPPUNIT_ASSERT(
+              HeaderOf(simulation.Find("whole"), "Customer").empty());
+          simulation.SendRequestWith("key 4", "/open/a", "r2");
+          CPPUNIT_ASSERT(
+              HeaderOf(simulation.Find("whole"), "Customer").empty());
         }),
      It("is its customer's if it shows a key", [] {
-       Keyed world;
-       world.AskWith("key 3", "/open/a", "r1");
+       Keyed simulation;
+       simulation.SendRequestWith("key 3", "/open/a", "r1");
        CPPUNIT_ASSERT_EQUAL(std::string("second"),
-                            HeaderOf(world.Find("whole"), "Customer"));
+                            HeaderOf(simulation.Find("whole"), "Customer"));
      })});
 
 const acacialug::testing::Story kApart(
     "of two customers that send the same request",
     // Guards against: one customer's crashes refuse another's request.
     {It("one under which endpoints end leaves the other's served", [] {
-      Keyed world;
+      Keyed simulation;
       for (const char* const id : {"r1", "r2", "r3"}) {
-        world.AskWith("key 1", "/once/a", id);
-        world.Break(world.Find("whole"));
+        simulation.SendRequestWith("key 1", "/once/a", id);
+        simulation.Break(simulation.Find("whole"));
       }
-      const auto refused = world.AskWith("key 1", "/once/a", "r4");
+      const auto refused = simulation.SendRequestWith("key 1", "/once/a", "r4");
       CPPUNIT_ASSERT_EQUAL(503, refused->status);
-      CPPUNIT_ASSERT_EQUAL(200, world.Status("key 3", "r5"));
+      CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 3", "r5"));
     })});
 
 const acacialug::testing::Story kLimits(
     "a customer with a limit",
     {It("is refused beyond it, at once, with the time at which it has room",
         [] {
-          Keyed world(Customers(kTokens, 2 * kTokens));
+          Keyed simulation(Customers(kTokens, 2 * kTokens));
           // A new process does not know what was taken before.
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("key 1", "r1"));
-          const auto over = world.AskWith("key 2", "/once/a", "r2");
-          CPPUNIT_ASSERT_EQUAL(429, over->status);
-          CPPUNIT_ASSERT_EQUAL(std::string("1.00"), over->retry_after);
-          CPPUNIT_ASSERT(world.Calls().empty());
-          world.Pass(1010ms);
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("key 2", "r3"));
-          CPPUNIT_ASSERT_EQUAL(429, world.Status("key 1", "r4"));
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r1"));
+          const auto finished =
+              simulation.SendRequestWith("key 2", "/once/a", "r2");
+          CPPUNIT_ASSERT_EQUAL(429, finished->status);
+          CPPUNIT_ASSERT_EQUAL(std::string("1.00"), finished->retry_after);
+          CPPUNIT_ASSERT(simulation.Calls().empty());
+          simulation.AdvanceBy(1010ms);
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 2", "r3"));
+          CPPUNIT_ASSERT_EQUAL(429, simulation.Status("key 1", "r4"));
         }),
      It("leaves other customers alone",
         [] {
-          Keyed world(Customers(kTokens, 2 * kTokens));
-          world.Status("key 1", "r1");
+          Keyed simulation(Customers(kTokens, 2 * kTokens));
+          simulation.Status("key 1", "r1");
           for (const char* const id : {"s1", "s2", "s3", "s4"}) {
-            CPPUNIT_ASSERT_EQUAL(200, world.Status("key 3", id));
+            CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 3", id));
           }
         }),
      It("gets back what was taken for a request that ran nowhere",
         [] {
-          Keyed world(Customers(kTokens, 2 * kTokens));
+          Keyed simulation(Customers(kTokens, 2 * kTokens));
           for (const char* const id : {"p1", "p2", "p3", "p4", "p5"}) {
-            world.RemoveEndpoint(id);
+            simulation.RemoveEndpoint(id);
           }
-          CPPUNIT_ASSERT_EQUAL(503, world.Status("key 1", "r1"));
-          CPPUNIT_ASSERT_EQUAL(503, world.Status("key 1", "r2"));
-          world.AddEndpoint("p6", "plain", EndpointRole::kPlain);
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("key 1", "r3"));
+          CPPUNIT_ASSERT_EQUAL(503, simulation.Status("key 1", "r1"));
+          CPPUNIT_ASSERT_EQUAL(503, simulation.Status("key 1", "r2"));
+          simulation.AddEndpoint("p6", "plain", EndpointRole::kPlain);
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r3"));
         }),
      It("pays for one that may have run",
         [] {
-          Keyed world(Customers(kTokens, 2 * kTokens));
-          const auto lost = world.AskWith("key 1", "/once/a", "r1");
-          world.Break(world.Find("whole"));
+          Keyed simulation(Customers(kTokens, 2 * kTokens));
+          const auto lost =
+              simulation.SendRequestWith("key 1", "/once/a", "r1");
+          simulation.Break(simulation.Find("whole"));
           CPPUNIT_ASSERT_EQUAL(502, lost->status);
-          CPPUNIT_ASSERT_EQUAL(429, world.Status("key 1", "r2"));
+          CPPUNIT_ASSERT_EQUAL(429, simulation.Status("key 1", "r2"));
         }),
      It("pays once for a request that is sent to a second endpoint",
         [] {
-          Keyed world(Customers(kTokens, 4 * kTokens));
-          world.AskWith("key 1", "/idempotent/a", "r1");
-          world.Break(world.Find("whole"));
-          world.ReplyProof(world.Find("whole"), 200);
-          CPPUNIT_ASSERT_EQUAL(200, world.Status("key 1", "r2"));
-          CPPUNIT_ASSERT_EQUAL(429, world.Status("key 1", "r3"));
+          Keyed simulation(Customers(kTokens, 4 * kTokens));
+          simulation.SendRequestWith("key 1", "/idempotent/a", "r1");
+          simulation.Break(simulation.Find("whole"));
+          simulation.ReplyProof(simulation.Find("whole"), 200);
+          CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r2"));
+          CPPUNIT_ASSERT_EQUAL(429, simulation.Status("key 1", "r3"));
         }),
      It("is told its limit apart from an overloaded service", [] {
-       Keyed world(Customers(kTokens, 2 * kTokens));
-       world.Status("key 1", "r1");
-       const auto over = world.AskWith("key 1", "/once/a", "r2");
-       CPPUNIT_ASSERT(over->body.find("caller_over_limit") !=
+       Keyed simulation(Customers(kTokens, 2 * kTokens));
+       simulation.Status("key 1", "r1");
+       const auto finished =
+           simulation.SendRequestWith("key 1", "/once/a", "r2");
+       CPPUNIT_ASSERT(finished->body.find("caller_over_limit") !=
                       std::string::npos);
      })});
 
--- a/src/gateway/tests/decisions_test.cc
+++ b/src/gateway/tests/decisions_test.cc
@@ -7,8 +7,8 @@
 #include "gateway/call_placement.h"
 #include "gateway/endpoint_health.h"
 #include "gateway/event_splitter.h"
-#include "gateway/load_book.h"
-#include "gateway/order_turn.h"
+#include "gateway/leader_term.h"
+#include "gateway/load_table.h"
 #include "gateway/repeat_budget.h"
 #include "gateway/role_planner.h"
 #include "gateway/route_table.h"
@@ -81,10 +81,10 @@
     {It("avoids a silent one at once, longer each time, until it answers",
         [] {
           EndpointHealth health;
-          health.NoteSilence(kA, kStart);
+          health.NoteTimeout(kA, kStart);
           CPPUNIT_ASSERT(health.Avoided(kA, kStart + 400ms));
           CPPUNIT_ASSERT(!health.Avoided(kA, kStart + 600ms));
-          health.NoteSilence(kA, kStart + 1s);
+          health.NoteTimeout(kA, kStart + 1s);
           CPPUNIT_ASSERT(health.Avoided(kA, kStart + 1900ms));
           health.NoteSuccess(kA, kStart);
           CPPUNIT_ASSERT(!health.Avoided(kA, kStart + 1900ms));
@@ -119,23 +119,23 @@
           // meanwhile. Cause: what one process found out the others did not
           // know.
           EndpointHealth health;
-          const std::uint64_t key = LoadBook::KeyOf(kA);
-          health.NoteToldUnreachable(key, 2s, kStart);
+          const std::uint64_t key = LoadTable::KeyOf(kA);
+          health.NoteReportedUnreachable(key, 2s, kStart);
           CPPUNIT_ASSERT(health.Avoided(kA, kStart + 400ms));
           CPPUNIT_ASSERT(!health.Avoided(kA, kStart + 600ms));
           health.NoteAnswer(kA, kStart + 700ms);
-          health.NoteToldUnreachable(key, 2s, kStart + 800ms);
+          health.NoteReportedUnreachable(key, 2s, kStart + 800ms);
           CPPUNIT_ASSERT(!health.Avoided(kA, kStart + 900ms));
           CPPUNIT_ASSERT(health.Avoided(kA, kStart + 1100ms));
         }),
      It("tells peers of those that it could not reach, not of lost answers",
         [] {
           EndpointHealth health;
-          health.NoteSilence(kA, kStart);
+          health.NoteTimeout(kA, kStart);
           health.NoteUnreachable(kB, kStart);
-          const auto told = health.Unreachable(kStart + 100ms);
-          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
-          CPPUNIT_ASSERT_EQUAL(LoadBook::KeyOf(kB), told[0].endpoint_key);
+          const auto reported = health.Unreachable(kStart + 100ms);
+          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reported.size());
+          CPPUNIT_ASSERT_EQUAL(LoadTable::KeyOf(kB), reported[0].endpoint_key);
           health.NoteAnswer(kB, kStart + 100ms);
           CPPUNIT_ASSERT(health.Unreachable(kStart + 100ms).empty());
         }),
@@ -143,14 +143,14 @@
         "full",
         [] {
           EndpointHealth health;
-          health.NoteUnwilling(kA, 0ms, kStart);
+          health.NoteUnexpectedRefusal(kA, 0ms, kStart);
           CPPUNIT_ASSERT(health.Full(kA, kStart + 100ms));
           CPPUNIT_ASSERT(!health.Full(kA, kStart + 200ms));
-          health.NoteUnwilling(kA, 0ms, kStart + 1s);
-          health.NoteUnwilling(kA, 0ms, kStart + 2s);
+          health.NoteUnexpectedRefusal(kA, 0ms, kStart + 1s);
+          health.NoteUnexpectedRefusal(kA, 0ms, kStart + 2s);
           CPPUNIT_ASSERT(health.Full(kA, kStart + 2500ms));
           CPPUNIT_ASSERT(!health.Unreachable(kStart + 2500ms).empty());
-          health.NoteRoom(kA);
+          health.NoteCapacity(kA);
           CPPUNIT_ASSERT(!health.Full(kA, kStart + 2500ms));
         }),
      It("forgets those that were not seen for a minute",
@@ -171,19 +171,19 @@
           EndpointHealth health;
           for (int number = 0; number < 50; ++number) {
             if (number % 5 < 2) {
-              health.NoteSilence(kA, kStart);
+              health.NoteTimeout(kA, kStart);
             } else {
               health.NoteSuccess(kA, kStart);
             }
           }
           CPPUNIT_ASSERT(health.FailureShare(kA) > 0.2);
-          LoadBook book;
-          const CallPlacement placement(book, health);
+          LoadTable load_table;
+          const CallPlacement placement(load_table, health);
           RandomSource random(1);
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kPlain),
               Record("b", EndpointRole::kPlain)};
-          book.Add(kB, {.requests = 2});
+          load_table.Add(kB, {.requests = 2});
           CPPUNIT_ASSERT(
               placement
                   .Pick({.domain = FailureDomain("x"), .now = kStart + 1h},
@@ -199,13 +199,13 @@
           // and tells the others. Cause: refusals that came within one round
           // of news were counted as several signs.
           EndpointHealth health;
-          health.NoteUnwilling(kA, 400ms, kStart);
+          health.NoteUnexpectedRefusal(kA, 400ms, kStart);
           CPPUNIT_ASSERT(health.Full(kA, kStart + 100ms));
-          health.NoteUnwilling(kA, 400ms, kStart + 160ms);
+          health.NoteUnexpectedRefusal(kA, 400ms, kStart + 160ms);
           CPPUNIT_ASSERT(health.Full(kA, kStart + 300ms));
-          health.NoteUnwilling(kA, 400ms, kStart + 390ms);
+          health.NoteUnexpectedRefusal(kA, 400ms, kStart + 390ms);
           CPPUNIT_ASSERT(health.Unreachable(kStart + 395ms).empty());
-          health.NoteUnwilling(kA, 400ms, kStart + 500ms);
+          health.NoteUnexpectedRefusal(kA, 400ms, kStart + 500ms);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                health.Unreachable(kStart + 510ms).size());
         }),
@@ -218,12 +218,12 @@
           CPPUNIT_ASSERT(!health.Avoided(kA, kStart));
           CPPUNIT_ASSERT(!health.Full(kA, kStart + EndpointHealth::kFullPause));
           health.NoteFull(kA, kStart);
-          health.NoteRoom(kA);
+          health.NoteCapacity(kA);
           CPPUNIT_ASSERT(!health.Full(kA, kStart));
         }),
      It("holds a pause that a peer told by the hash of the id", [] {
        EndpointHealth health;
-       health.NotePause(LoadBook::KeyOf(kA), kStart + 1s);
+       health.NotePause(LoadTable::KeyOf(kA), kStart + 1s);
        CPPUNIT_ASSERT(health.Paused(kA, kStart));
        CPPUNIT_ASSERT(!health.Paused(kA, kStart + 1s));
        CPPUNIT_ASSERT(!health.Paused(kB, kStart));
@@ -233,38 +233,40 @@
     "the book of loads",
     {It("adds what peers told to one's own, and forgets a silent peer's",
         [] {
-          LoadBook book;
-          book.Add(kA, {.requests = 1, .kv_tokens = 100});
+          LoadTable load_table;
+          load_table.Add(kA, {.requests = 1, .kv_tokens = 100});
           const PeerLoad theirs{
-              .rows = {{.endpoint_key = LoadBook::KeyOf(kA),
+              .rows = {{.endpoint_key = LoadTable::KeyOf(kA),
                         .load = {.requests = 2, .kv_tokens = 50}}}};
-          book.SetPeer("p", theirs, kStart);
-          book.SetPeer("p", theirs, kStart);
-          CPPUNIT_ASSERT_EQUAL(std::uint64_t{150}, book.Of(kA).kv_tokens);
-          book.Sweep(kStart + LoadBook::kPeerMemory + 1ms);
-          CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, book.Of(kA).kv_tokens);
-          book.Remove(kA, {.requests = 1, .kv_tokens = 100});
-          CPPUNIT_ASSERT(book.Own().rows.empty());
+          load_table.SetPeer("p", theirs, kStart);
+          load_table.SetPeer("p", theirs, kStart);
+          CPPUNIT_ASSERT_EQUAL(std::uint64_t{150},
+                               load_table.TotalAt(kA).kv_tokens);
+          load_table.Sweep(kStart + LoadTable::kPeerMemory + 1ms);
+          CPPUNIT_ASSERT_EQUAL(std::uint64_t{100},
+                               load_table.TotalAt(kA).kv_tokens);
+          load_table.Remove(kA, {.requests = 1, .kv_tokens = 100});
+          CPPUNIT_ASSERT(load_table.Own().rows.empty());
         }),
      It("tells how old the news are of those near, and of the others",
         [] {
-          LoadBook book;
-          using enum LoadBook::Nearness;
-          CPPUNIT_ASSERT(book.NewsAge(kFar, kStart) == 0ms);
-          book.SetPeer("p", {.near = true}, kStart + 90ms);
-          book.SetPeer("q", {}, kStart);
-          book.SetPeer("r", {}, kStart + 40ms);
+          LoadTable load_table;
+          using enum LoadTable::Nearness;
+          CPPUNIT_ASSERT(load_table.ReportAge(kFar, kStart) == 0ms);
+          load_table.SetPeer("p", {.near = true}, kStart + 90ms);
+          load_table.SetPeer("q", {}, kStart);
+          load_table.SetPeer("r", {}, kStart + 40ms);
           const Instant now = kStart + 100ms;
-          CPPUNIT_ASSERT(book.NewsAge(kNear, now) == 10ms);
-          CPPUNIT_ASSERT(book.NewsAge(kFar, now) == 80ms);
-          CPPUNIT_ASSERT(book.OldestNews(now) == 100ms);
+          CPPUNIT_ASSERT(load_table.ReportAge(kNear, now) == 10ms);
+          CPPUNIT_ASSERT(load_table.ReportAge(kFar, now) == 80ms);
+          CPPUNIT_ASSERT(load_table.OldestReportAge(now) == 100ms);
         }),
      It("keeps totals that are the sum of what it was told, whatever the order",
         [] {
           RandomSource random(5);
-          LoadBook book;
+          LoadTable load_table;
           std::map<int, std::map<int, std::uint64_t>> tokens;  // by teller
-          std::map<int, Instant> told_at;
+          std::map<int, Instant> reported_at;
           Instant now = kStart;
           constexpr int kSelf = 0;
           const auto id = [](int endpoint) {
@@ -272,40 +274,44 @@
           };
           for (int step = 0; step < 4000; ++step) {
             now += std::chrono::milliseconds(random.Below(40));
-            const int teller = static_cast<int>(random.Below(6));
+            const int reporter = static_cast<int>(random.Below(6));
             const int endpoint = static_cast<int>(random.Below(5));
             const std::uint64_t load = 1 + random.Below(1000);
             if (random.Below(50) == 0) {
-              book.Forget(id(endpoint));
+              load_table.Forget(id(endpoint));
               for (auto& [who, loads] : tokens) {
                 loads.erase(endpoint);
               }
-            } else if (teller != kSelf) {
-              PeerLoad told;
-              tokens[teller].clear();
+            } else if (reporter != kSelf) {
+              PeerLoad reported;
+              tokens[reporter].clear();
               for (int at = endpoint; at < 5; ++at) {
-                told.rows.push_back({.endpoint_key = LoadBook::KeyOf(id(at)),
-                                     .load = {.kv_tokens = load}});
-                tokens[teller][at] = load;
+                reported.rows.push_back(
+                    {.endpoint_key = LoadTable::KeyOf(id(at)),
+                     .load = {.kv_tokens = load}});
+                tokens[reporter][at] = load;
               }
-              told_at[teller] = now;
-              book.SetPeer(std::to_string(teller), told, now);
+              reported_at[reporter] = now;
+              load_table.SetPeer(std::to_string(reporter), reported, now);
             } else if (tokens[kSelf].contains(endpoint)) {
-              book.Remove(id(endpoint), {.kv_tokens = tokens[kSelf][endpoint]});
+              load_table.Remove(id(endpoint),
+                                {.kv_tokens = tokens[kSelf][endpoint]});
               tokens[kSelf].erase(endpoint);
             } else {
-              book.Add(id(endpoint), {.kv_tokens = load});
+              load_table.Add(id(endpoint), {.kv_tokens = load});
               tokens[kSelf][endpoint] = load;
             }
-            book.Sweep(now);
+            load_table.Sweep(now);
             std::uint64_t sum = 0;
             for (const auto& [who, loads] : tokens) {
               const bool kept =
-                  who == kSelf || told_at[who] + LoadBook::kPeerMemory >= now;
+                  who == kSelf ||
+                  reported_at[who] + LoadTable::kPeerMemory >= now;
               const auto found = loads.find(endpoint);
               sum += kept && found != loads.end() ? found->second : 0;
             }
-            CPPUNIT_ASSERT_EQUAL(sum, book.Of(id(endpoint)).kv_tokens);
+            CPPUNIT_ASSERT_EQUAL(sum,
+                                 load_table.TotalAt(id(endpoint)).kv_tokens);
           }
         })});
 
@@ -395,24 +401,24 @@
      It("turns away who would wait, and lets in who would hardly",
         [] {
           AdmissionQueue queue({});
-          queue.NoteTaken(400'000);  // over 3.5 s: 114 tokens a ms
-          CPPUNIT_ASSERT(queue.Ask({.kv_tokens = 4000}).admitted);
-          CPPUNIT_ASSERT(!queue.Ask({.kv_tokens = 8000}).admitted);
+          queue.NoteAllocated(400'000);  // over 3.5 s: 114 tokens a ms
+          CPPUNIT_ASSERT(queue.CheckAdmission({.kv_tokens = 4000}).admitted);
+          CPPUNIT_ASSERT(!queue.CheckAdmission({.kv_tokens = 8000}).admitted);
         }),
      It("asks refused callers back one after the other, up to its bound", [] {
        AdmissionQueue queue({});
        RandomSource random(1);
-       queue.NoteTaken(40'000);
-       const Duration first = queue.NextReturn(4000, 14s, kStart, random);
-       const Duration second = queue.NextReturn(4000, 14s, kStart, random);
+       queue.NoteAllocated(40'000);
+       const Duration first = queue.NextRetryDelay(4000, 14s, kStart, random);
+       const Duration second = queue.NextRetryDelay(4000, 14s, kStart, random);
        // Not within the burst that it was refused in.
        CPPUNIT_ASSERT(first >= 2800ms);
        CPPUNIT_ASSERT(first >= 300ms);
        CPPUNIT_ASSERT(second > first + 500ms);
        for (int number = 0; number < 100; ++number) {
-         CPPUNIT_ASSERT(queue.NextReturn(4000, 14s, kStart, random) <= 5s);
+         CPPUNIT_ASSERT(queue.NextRetryDelay(4000, 14s, kStart, random) <= 5s);
        }
-       CPPUNIT_ASSERT(queue.NextReturn(4000, 3s, kStart, random) <= 1s);
+       CPPUNIT_ASSERT(queue.NextRetryDelay(4000, 3s, kStart, random) <= 1s);
      })});
 
 const acacialug::testing::Story kRestart(
@@ -423,27 +429,29 @@
           // emptier than it is. Sequence: it crashes with streams and is back
           // under its id; new work is placed; the broken streams give back
           // what they held. Cause: loads were told apart by the id alone.
-          LoadBook book;
-          book.Add(kA, {.requests = 3, .kv_tokens = 9000}, 100);
-          book.SetPeer("p",
-                       {.rows = {{.endpoint_key = LoadBook::KeyOf(kA),
-                                  .load = {.requests = 2}}}},
-                       kStart);
-          book.Forget(kA);
-          CPPUNIT_ASSERT(book.Of(kA).empty());
-          book.Add(kA, {.requests = 1, .kv_tokens = 3000}, 200);
-          book.Remove(kA, {.requests = 3, .kv_tokens = 9000}, 100);
-          book.Add(kA, {.kv_tokens = 64}, 100);
-          CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, book.Of(kA).kv_tokens);
-          CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, book.Of(kA).requests);
+          LoadTable load_table;
+          load_table.Add(kA, {.requests = 3, .kv_tokens = 9000}, 100);
+          load_table.SetPeer("p",
+                             {.rows = {{.endpoint_key = LoadTable::KeyOf(kA),
+                                        .load = {.requests = 2}}}},
+                             kStart);
+          load_table.Forget(kA);
+          CPPUNIT_ASSERT(load_table.TotalAt(kA).empty());
+          load_table.Add(kA, {.requests = 1, .kv_tokens = 3000}, 200);
+          load_table.Remove(kA, {.requests = 3, .kv_tokens = 9000}, 100);
+          load_table.Add(kA, {.kv_tokens = 64}, 100);
+          CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000},
+                               load_table.TotalAt(kA).kv_tokens);
+          CPPUNIT_ASSERT_EQUAL(std::uint32_t{1},
+                               load_table.TotalAt(kA).requests);
         }),
      It("is neither ill, slow nor full by what it was before", [] {
        EndpointHealth health;
-       health.NoteSilence(kA, kStart);
+       health.NoteTimeout(kA, kStart);
        health.NoteFull(kA, kStart);
        health.NoteSpeed(kA, 8);
-       health.NotePause(LoadBook::KeyOf(kA), kStart + 5s);
-       health.NoteToldUnreachable(LoadBook::KeyOf(kA), 400ms, kStart);
+       health.NotePause(LoadTable::KeyOf(kA), kStart + 5s);
+       health.NoteReportedUnreachable(LoadTable::KeyOf(kA), 400ms, kStart);
        health.Forget(kA);
        CPPUNIT_ASSERT(!health.Avoided(kA, kStart));
        CPPUNIT_ASSERT(!health.Full(kA, kStart));
@@ -456,31 +464,31 @@
     "the place of a generation",
     {It("is where memory is free, and never where it would not fit",
         [] {
-          LoadBook book;
+          LoadTable load_table;
           const EndpointHealth health;
-          const StreamPlacement placement({}, book, health);
+          const StreamPlacement placement({}, load_table, health);
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kDecode),
               Record("b", EndpointRole::kDecode),
               Record("f", EndpointRole::kPrefill)};
           const EngineTraits engine{.slots = 64, .kv_tokens = 20000};
           RandomSource random(1);
-          book.Add(kA, {.requests = 4, .kv_tokens = 17000});
+          load_table.Add(kA, {.requests = 4, .kv_tokens = 17000});
           const StreamPlacement::Need need{
               .size = {.prompt_tokens = 3000, .expected_output_tokens = 900},
               .objective = 900ms,
               .now = kStart};
-          const auto place = placement.Pick(need, engine, kForecast,
-                                            Pointers(records), random);
-          CPPUNIT_ASSERT(place.has_value());
-          CPPUNIT_ASSERT(place->decode.id == kB);
-          CPPUNIT_ASSERT_EQUAL(std::string("f"), place->prefill->id.text);
+          const auto chosen = placement.Pick(need, engine, kForecast,
+                                             Pointers(records), random);
+          CPPUNIT_ASSERT(chosen.has_value());
+          CPPUNIT_ASSERT(chosen->decode.id == kB);
+          CPPUNIT_ASSERT_EQUAL(std::string("f"), chosen->prefill->id.text);
           EndpointHealth full;
           full.NoteFull(kB, kStart);
           CPPUNIT_ASSERT(
-              !StreamPlacement({}, book, full)
+              !StreamPlacement({}, load_table, full)
                    .Pick(need, engine, kForecast, Pointers(records), random));
-          book.Add(kB, {.requests = 5, .kv_tokens = 18000});
+          load_table.Add(kB, {.requests = 5, .kv_tokens = 18000});
           CPPUNIT_ASSERT(!placement.Pick(need, engine, kForecast,
                                          Pointers(records), random));
         }),
@@ -492,9 +500,9 @@
           // the other prefill endpoints is longer than is let in. Cause: no
           // place without a prefill endpoint, though decode endpoints can
           // compute prompts.
-          LoadBook book;
+          LoadTable load_table;
           const EndpointHealth health;
-          const StreamPlacement placement({}, book, health);
+          const StreamPlacement placement({}, load_table, health);
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kDecode),
               Record("f", EndpointRole::kPrefill)};
@@ -504,11 +512,12 @@
               .size = {.prompt_tokens = 3000, .expected_output_tokens = 900},
               .objective = 900ms,
               .now = kStart};
-          book.Add(EndpointId("f"), {.requests = 5, .prefill_tokens = 15000});
-          const auto place = placement.Pick(need, engine, kForecast,
-                                            Pointers(records), random);
-          CPPUNIT_ASSERT(place.has_value() && !place->prefill);
-          book.Add(kA, {.requests = 4, .kv_tokens = 15000});
+          load_table.Add(EndpointId("f"),
+                         {.requests = 5, .prefill_tokens = 15000});
+          const auto chosen = placement.Pick(need, engine, kForecast,
+                                             Pointers(records), random);
+          CPPUNIT_ASSERT(chosen.has_value() && !chosen->prefill);
+          load_table.Add(kA, {.requests = 4, .kv_tokens = 15000});
           CPPUNIT_ASSERT(!placement.Pick(need, engine, kForecast,
                                          Pointers(records), random));
         }),
@@ -520,9 +529,9 @@
           // Sequence: prompts queue, decode endpoints with room compute them,
           // and each piece stands between two steps of all their streams.
           // Cause: room was asked for, and not what the prompt does to others.
-          LoadBook book;
+          LoadTable load_table;
           const EndpointHealth health;
-          const StreamPlacement placement({}, book, health);
+          const StreamPlacement placement({}, load_table, health);
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kDecode),
               Record("f", EndpointRole::kPrefill)};
@@ -533,8 +542,9 @@
               .objective = 900ms,
               .longest_pause = 260ms,
               .now = kStart};
-          book.Add(EndpointId("f"), {.requests = 5, .prefill_tokens = 30000});
-          book.Add(kA, {.requests = 1, .kv_tokens = 3000});
+          load_table.Add(EndpointId("f"),
+                         {.requests = 5, .prefill_tokens = 30000});
+          load_table.Add(kA, {.requests = 1, .kv_tokens = 3000});
           forecast::ServiceForecast slow;
           for (int number = 0; number < 5; ++number) {
             slow.NotePause(450ms, 11, true);
@@ -547,14 +557,14 @@
           need.longest_pause = 600ms;
           CPPUNIT_ASSERT(pick().has_value());
           need.longest_pause = 260ms;
-          book.Remove(kA, {.requests = 1, .kv_tokens = 3000});
+          load_table.Remove(kA, {.requests = 1, .kv_tokens = 3000});
           CPPUNIT_ASSERT(pick().has_value());
         }),
      It("is in the process's own failure domain unless that is clearly fuller",
         [] {
-          LoadBook book;
+          LoadTable load_table;
           const EndpointHealth health;
-          const StreamPlacement placement({}, book, health);
+          const StreamPlacement placement({}, load_table, health);
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kDecode, "x"),
               Record("b", EndpointRole::kDecode, "y"),
@@ -574,23 +584,24 @@
           CPPUNIT_ASSERT(pick("y")->decode.id == kB);
           // Next to where its result goes, not to the process.
           CPPUNIT_ASSERT_EQUAL(std::string("f"), pick("x")->prefill->id.text);
-          book.Add(kA, {.requests = 3, .kv_tokens = 9000});
+          load_table.Add(kA, {.requests = 3, .kv_tokens = 9000});
           CPPUNIT_ASSERT(pick("x")->decode.id == kB);
           CPPUNIT_ASSERT_EQUAL(std::string("g"), pick("x")->prefill->id.text);
         }),
      It("may be waited for longer on a route with a longer objective",
         [] {
-          LoadBook book;
+          LoadTable load_table;
           const EndpointHealth health;
-          const StreamPlacement placement({.own_prefill_fill = 0}, book,
+          const StreamPlacement placement({.local_prefill_fill = 0}, load_table,
                                           health);
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kDecode),
               Record("f", EndpointRole::kPrefill)};
           const EngineTraits engine{.slots = 64, .kv_tokens = 20000};
           RandomSource random(1);
-          book.Add(EndpointId("f"), {.requests = 5, .prefill_tokens = 15000});
-          book.Add(kA, {.requests = 1, .kv_tokens = 3000});
+          load_table.Add(EndpointId("f"),
+                         {.requests = 5, .prefill_tokens = 15000});
+          load_table.Add(kA, {.requests = 1, .kv_tokens = 3000});
           const auto pick = [&](Duration objective) {
             return placement.Pick({.size = {.prompt_tokens = 3000},
                                    .objective = objective,
@@ -607,9 +618,9 @@
           // together, they come back within a third of a second, and prompts
           // queue for more than half of the objective. Cause: one bound for a
           // wait that holds memory, whether memory is short or not.
-          LoadBook book;
+          LoadTable load_table;
           const EndpointHealth health;
-          const StreamPlacement placement({.own_prefill_fill = 0}, book,
+          const StreamPlacement placement({.local_prefill_fill = 0}, load_table,
                                           health);
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kDecode),
@@ -620,20 +631,21 @@
                                            .objective = 900ms,
                                            .now = kStart};
           // Some 550 ms with the prompt's own time.
-          book.Add(EndpointId("f"), {.requests = 5, .prefill_tokens = 14500});
-          book.Add(kA, {.requests = 1, .kv_tokens = 3000});
+          load_table.Add(EndpointId("f"),
+                         {.requests = 5, .prefill_tokens = 14500});
+          load_table.Add(kA, {.requests = 1, .kv_tokens = 3000});
           const auto pick = [&] {
             return placement.Pick(need, engine, kForecast, Pointers(records),
                                   random);
           };
           CPPUNIT_ASSERT(pick().has_value() && pick()->prefill.has_value());
-          book.Add(kA, {.requests = 4, .kv_tokens = 13500});
+          load_table.Add(kA, {.requests = 4, .kv_tokens = 13500});
           CPPUNIT_ASSERT(!pick());
         }),
      It("spreads what several processes place by the same news", [] {
-       LoadBook book;
+       LoadTable load_table;
        const EndpointHealth health;
-       const StreamPlacement placement({}, book, health);
+       const StreamPlacement placement({}, load_table, health);
        std::vector<EndpointRecord> records;
        records.reserve(10);
        for (int number = 0; number < 10; ++number) {
@@ -655,9 +667,9 @@
 const acacialug::testing::Story kCallPlacement(
     "the place of a call",
     {It("is the near one, until it fails", [] {
-      LoadBook book;
+      LoadTable load_table;
       EndpointHealth health;
-      const CallPlacement placement(book, health);
+      const CallPlacement placement(load_table, health);
       const std::vector<EndpointRecord> records = {
           Record("a", EndpointRole::kPlain, "x"),
           Record("b", EndpointRole::kPlain, "y")};
@@ -665,7 +677,7 @@
       const CallPlacement::Need need{.domain = FailureDomain("x"),
                                      .now = kStart};
       CPPUNIT_ASSERT(placement.Pick(need, Pointers(records), random)->id == kA);
-      health.NoteSilence(kA, kStart);
+      health.NoteTimeout(kA, kStart);
       CPPUNIT_ASSERT(placement.Pick(need, Pointers(records), random)->id == kB);
     })});
 
@@ -674,7 +686,7 @@
     {It("gives prefill what the requests' shape needs, and no more",
         [] {
           RolePlanner planner({});
-          LoadBook book;
+          LoadTable load_table;
           std::vector<EndpointRecord> records;
           records.reserve(41);
           for (int number = 0; number < 41; ++number) {
@@ -684,15 +696,16 @@
           }
           const EngineTraits engine{
               .slots = 64, .kv_tokens = 26226, .role_switch = 6s};
-          CPPUNIT_ASSERT(
-              planner.Plan(engine, kForecast, Pointers(records), book, kStart)
-                  .empty());
+          CPPUNIT_ASSERT(planner
+                             .Plan(engine, kForecast, Pointers(records),
+                                   load_table, kStart)
+                             .empty());
           for (int number = 0; number < 12; ++number) {
             planner.NoteRequest(
                 {.prompt_tokens = 3200, .expected_output_tokens = 900});
           }
-          const auto changes =
-              planner.Plan(engine, kForecast, Pointers(records), book, kStart);
+          const auto changes = planner.Plan(
+              engine, kForecast, Pointers(records), load_table, kStart);
           CPPUNIT_ASSERT(changes.size() >= 4 && changes.size() <= 6);
           for (const RoleChange& change : changes) {
             CPPUNIT_ASSERT(change.role == EndpointRole::kDecode);
@@ -723,8 +736,8 @@
           CPPUNIT_ASSERT_DOUBLES_EQUAL(
               alone.PrefillShare(engine, kForecast, 1.0),
               planner.PrefillShare(engine, kForecast, 1.0), 0.02);
-          const LoadBook book;
-          planner.Watch(engine, {}, book, kStart + 20s);
+          const LoadTable load_table;
+          planner.Watch(engine, {}, load_table, kStart + 20s);
           CPPUNIT_ASSERT_EQUAL(0.0,
                                planner.PrefillShare(engine, kForecast, 1.0));
         }),
@@ -733,7 +746,7 @@
      It("makes more prefill endpoints only when those there are kept busy",
         [] {
           RolePlanner planner({});
-          LoadBook book;
+          LoadTable load_table;
           std::vector<EndpointRecord> records;
           records.reserve(48);
           for (int number = 0; number < 48; ++number) {
@@ -749,21 +762,21 @@
           }
           const auto after_looks = [&] {
             for (int look = 0; look < 10; ++look) {
-              planner.Watch(engine, Pointers(records), book, kStart);
+              planner.Watch(engine, Pointers(records), load_table, kStart);
             }
-            return planner.Plan(engine, kForecast, Pointers(records), book,
-                                kStart);
+            return planner.Plan(engine, kForecast, Pointers(records),
+                                load_table, kStart);
           };
           CPPUNIT_ASSERT(after_looks().empty());
           for (int number = 0; number < 6; ++number) {
-            book.Add(records[number].id, {.prefill_tokens = 9000});
+            load_table.Add(records[number].id, {.prefill_tokens = 9000});
           }
           CPPUNIT_ASSERT(!after_looks().empty());
         }),
      It("switches nothing more while a switch is under way",
         [] {
           RolePlanner planner({});
-          LoadBook book;
+          LoadTable load_table;
           const std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kPrefill),
               Record("b", EndpointRole::kPrefill),
@@ -775,14 +788,14 @@
             planner.NoteRequest(
                 {.prompt_tokens = 3200, .expected_output_tokens = 900});
           }
-          const auto changes =
-              planner.Plan(engine, kForecast, Pointers(records), book, kStart);
+          const auto changes = planner.Plan(
+              engine, kForecast, Pointers(records), load_table, kStart);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.size());
           planner.NoteOrdered(changes[0], engine, kStart);
-          CPPUNIT_ASSERT(
-              planner
-                  .Plan(engine, kForecast, Pointers(records), book, kStart + 5s)
-                  .empty());
+          CPPUNIT_ASSERT(planner
+                             .Plan(engine, kForecast, Pointers(records),
+                                   load_table, kStart + 5s)
+                             .empty());
           CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                planner.Pauses(kStart + 5s).size());
         }),
@@ -793,7 +806,7 @@
           // refused twice". Sequence: the switch was counted from the order,
           // though streams that ran there went on for three seconds.
           RolePlanner planner({});
-          LoadBook book;
+          LoadTable load_table;
           std::vector<EndpointRecord> records = {
               Record("a", EndpointRole::kDecode)};
           const EngineTraits engine{
@@ -801,18 +814,18 @@
           planner.NoteOrdered(
               {.endpoint = records[0], .role = EndpointRole::kPrefill}, engine,
               kStart);
-          book.Add(kA, {.requests = 1});
-          planner.Watch(engine, Pointers(records), book, kStart + 3s);
+          load_table.Add(kA, {.requests = 1});
+          planner.Watch(engine, Pointers(records), load_table, kStart + 3s);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                planner.Pauses(kStart + 10s).size());
-          book.Remove(kA, {.requests = 1});
-          planner.Watch(engine, Pointers(records), book, kStart + 4s);
+          load_table.Remove(kA, {.requests = 1});
+          planner.Watch(engine, Pointers(records), load_table, kStart + 4s);
           CPPUNIT_ASSERT(planner.Pauses(kStart + 11s).empty());
           planner.NoteOrdered(
               {.endpoint = records[0], .role = EndpointRole::kPrefill}, engine,
               kStart + 20s);
           records[0].role = EndpointRole::kPrefill;
-          planner.Watch(engine, Pointers(records), book, kStart + 21s);
+          planner.Watch(engine, Pointers(records), load_table, kStart + 21s);
           CPPUNIT_ASSERT(planner.Pauses(kStart + 21s).empty());
         }),
      It("gives slow readers more prefill endpoints than quick ones",
@@ -841,7 +854,7 @@
         }),
      It("leaves a split alone that is right within the rounding", [] {
        RolePlanner planner({});
-       LoadBook book;
+       LoadTable load_table;
        std::vector<EndpointRecord> records;
        records.reserve(9);
        for (int number = 0; number < 9; ++number) {
@@ -855,7 +868,8 @@
              {.prompt_tokens = 3200, .expected_output_tokens = 900});
        }
        CPPUNIT_ASSERT(
-           planner.Plan(engine, kForecast, Pointers(records), book, kStart)
+           planner
+               .Plan(engine, kForecast, Pointers(records), load_table, kStart)
                .empty());
      })});
 
@@ -863,35 +877,37 @@
     "the turn to give orders",
     {It("is claimed by a process that has long been the first",
         [] {
-          OrderTurn turn({});
-          CPPUNIT_ASSERT(!turn.MayClaim(kStart));
-          turn.SetFirst(true, kStart);
-          CPPUNIT_ASSERT(!turn.MayClaim(kStart + 2s));
-          CPPUNIT_ASSERT(turn.MayClaim(kStart + 3s));
-          turn.SetFirst(false, kStart + 3s);
-          CPPUNIT_ASSERT(!turn.MayClaim(kStart + 9s));
+          LeaderTerm term({});
+          CPPUNIT_ASSERT(!term.MayAcquire(kStart));
+          term.SetFirst(true, kStart);
+          CPPUNIT_ASSERT(!term.MayAcquire(kStart + 2s));
+          CPPUNIT_ASSERT(term.MayAcquire(kStart + 3s));
+          term.SetFirst(false, kStart + 3s);
+          CPPUNIT_ASSERT(!term.MayAcquire(kStart + 9s));
         }),
      It("after another's is used only when that one's orders have arrived",
         [] {
-          OrderTurn turn({});
-          turn.SetFirst(true, kStart);
-          turn.NoteClaiming(kStart + 3s);
-          CPPUNIT_ASSERT(!turn.OnClaim(
-              TurnClaim{.fence = 7, .after_another = true}, kStart + 3s));
-          CPPUNIT_ASSERT(!turn.MayClaim(kStart + 6s));
-          turn.NoteClaiming(kStart + 7s);
+          LeaderTerm term({});
+          term.SetFirst(true, kStart);
+          term.NoteAcquiring(kStart + 3s);
+          CPPUNIT_ASSERT(!term.OnGrant(
+              TermGrant{.fencing_token = 7, .after_another = true},
+              kStart + 3s));
+          CPPUNIT_ASSERT(!term.MayAcquire(kStart + 6s));
+          term.NoteAcquiring(kStart + 7s);
           CPPUNIT_ASSERT_EQUAL(
               std::uint64_t{8},
-              turn.OnClaim(TurnClaim{.fence = 8}, kStart + 7s).value());
+              term.OnGrant(TermGrant{.fencing_token = 8}, kStart + 7s).value());
         }),
      It("is not used when its grant came late", [] {
        // Symptom: two holders order one endpoint. Sequence: a process claims,
        // is suspended, another takes over and orders, the first wakes up and
        // orders with its grant. Cause: a grant taken without its age.
-       OrderTurn turn({});
-       turn.SetFirst(true, kStart);
-       turn.NoteClaiming(kStart + 3s);
-       CPPUNIT_ASSERT(!turn.OnClaim(TurnClaim{.fence = 7}, kStart + 9s));
+       LeaderTerm term({});
+       term.SetFirst(true, kStart);
+       term.NoteAcquiring(kStart + 3s);
+       CPPUNIT_ASSERT(
+           !term.OnGrant(TermGrant{.fencing_token = 7}, kStart + 9s));
      })});
 
 }  // namespace
--- a/src/gateway/tests/endpoint_catalog_test.cc
+++ b/src/gateway/tests/endpoint_catalog_test.cc
@@ -35,18 +35,18 @@
           EndpointCatalog catalog;
           CPPUNIT_ASSERT(catalog.Apply(Written(5, "a", true), kStart));
           CPPUNIT_ASSERT(!catalog.Apply(Written(4, "a"), kStart));
-          CPPUNIT_ASSERT(catalog.Of(kService).empty());
+          CPPUNIT_ASSERT(catalog.ForService(kService).empty());
         }),
      It("tells of an endpoint that started again under its id, and of no other",
         [] {
           std::vector<std::int64_t> started;
           EndpointCatalog catalog([&started](const EndpointRecord& record) {
-            started.push_back(record.born);
+            started.push_back(record.started_at_ms);
           });
           const auto write = [&catalog](std::uint64_t offset,
-                                        std::int64_t born) {
+                                        std::int64_t started_at_ms) {
             EndpointChange change = Written(offset, "a");
-            change.record->born = born;
+            change.record->started_at_ms = started_at_ms;
             catalog.Apply(change, kStart);
           };
           write(1, 0);
@@ -125,7 +125,8 @@
           catalog.NoteStoreBack(kStart + 5s);
           catalog.Apply(Deleted(7, "a"), kStart + 5s);
           catalog.Apply(Deleted(8, "b"), kStart + 5s);
-          CPPUNIT_ASSERT_EQUAL(std::size_t{2}, catalog.Of(kService).size());
+          CPPUNIT_ASSERT_EQUAL(std::size_t{2},
+                               catalog.ForService(kService).size());
           catalog.Apply(Written(9, "a"), kStart + 6s);
           catalog.Sweep(kStart + 5s + EndpointCatalog::kLapseGrace);
           CPPUNIT_ASSERT(catalog.Find(EndpointId("a")) != nullptr);
@@ -158,16 +159,16 @@
           // beyond its deletion; it drops the endpoint later, and the peer,
           // which knows as far, never asks again. Cause: the entry was given
           // the deletion's offset.
-          EndpointCatalog teller;
-          teller.Apply(Written(5, "a"), kStart);
-          teller.NoteStoreLost();
-          teller.NoteStoreBack(kStart);
-          teller.Apply(Deleted(6, "a"), kStart);
+          EndpointCatalog reporter;
+          reporter.Apply(Written(5, "a"), kStart);
+          reporter.NoteStoreLost();
+          reporter.NoteStoreBack(kStart);
+          reporter.Apply(Deleted(6, "a"), kStart);
           EndpointCatalog peer;
-          peer.Apply(teller.Snapshot(kStart), kStart);
+          peer.Apply(reporter.Snapshot(kStart), kStart);
           CPPUNIT_ASSERT(peer.complete_to() == LogOffset(6));
-          teller.Sweep(kStart + EndpointCatalog::kLapseGrace);
-          CPPUNIT_ASSERT(teller.changed_to() > peer.complete_to());
+          reporter.Sweep(kStart + EndpointCatalog::kLapseGrace);
+          CPPUNIT_ASSERT(reporter.changed_to() > peer.complete_to());
           peer.Apply(Deleted(6, "a"), kStart);
           CPPUNIT_ASSERT(peer.Find(EndpointId("a")) == nullptr);
         }),
--- a/src/gateway/tests/gateway_world.cc
+++ b/src/gateway/tests/gateway_simulation.cc
@@ -1,4 +1,4 @@
-#include "gateway/tests/gateway_world.h"
+#include "gateway/tests/gateway_simulation.h"
 
 #include <cppunit/TestAssert.h>
 
@@ -33,7 +33,7 @@
   return Text(call->request.headers, name);
 }
 
-class GatewayWorld::FakeResponder : public http::Responder {
+class GatewaySimulation::FakeResponder : public http::Responder {
  public:
   FakeResponder(std::shared_ptr<Answer> caller_answer, const Instant& clock)
       : answer(std::move(caller_answer)), now(clock) {}
@@ -64,7 +64,7 @@
   }
   void SetOnDrained(std::function<void()> /*on_drained*/) override {}
 
-  void Leave() {
+  void Disconnect() {
     if (const auto hook = std::exchange(this->gone_hook, nullptr)) {
       hook();
     }
@@ -81,7 +81,7 @@
   std::function<void()> gone_hook;
 };
 
-GatewayWorld::GatewayWorld(double repeat_extra) {
+GatewaySimulation::GatewaySimulation(double repeat_extra) {
   this->core = std::make_unique<GatewayCore>(
       GatewayCore::Options{.id = "g1",
                            .domain = FailureDomain("a"),
@@ -91,7 +91,7 @@
       this->random);
 }
 
-GatewayHooks GatewayWorld::Hooks() {
+GatewayHooks GatewaySimulation::Hooks() {
   return {
       .now = [this] { return this->now; },
       .send =
@@ -119,20 +119,20 @@
           },
       .drop_idle = [](const http::Address&) {},
       .wake_at = [](Instant) {},
-      .on_standstill = [this](Duration up_to) { this->stood_still += up_to; },
+      .on_stall = [this](Duration up_to) { this->stalled_for += up_to; },
       .on_load_changed = [] {},
       .on_pauses_changed =
-          [this] { this->pauses_told = this->core->OwnPauses().size(); },
-      .claim_turn =
-          [this](const std::function<void(std::optional<TurnClaim>)>& on_done) {
-            on_done(this->turn);
+          [this] { this->pauses_reported = this->core->OwnPauses().size(); },
+      .acquire_term =
+          [this](const std::function<void(std::optional<TermGrant>)>& on_done) {
+            on_done(this->term_grant);
           },
-      .note = [this](log::Level, std::string_view event,
-                     const log::Record&) { this->events.emplace_back(event); },
+      .log = [this](log::Level, std::string_view event,
+                    const log::Record&) { this->events.emplace_back(event); },
       .on_end = [](const Route&, const RelayOutcome&) {}};
 }
 
-EndpointDialect GatewayWorld::Dialect() {
+EndpointDialect GatewaySimulation::Dialect() {
   EndpointDialect dialect;
   dialect.read_request = [](http::Request request) {
     WorkRequest work{.id = Text(request.headers, "Id"),
@@ -220,20 +220,21 @@
   dialect.read_accepted_orders = [](std::string_view body) {
     return std::optional<std::uint64_t>(std::stoull(std::string(body)));
   };
-  dialect.write_role_order = [](const EndpointRecord&, EndpointRole role,
-                                std::string_view holder, std::uint64_t fence,
-                                std::uint64_t accepted) {
-    return http::Request{.method = "POST",
-                         .target = "/order",
-                         .body = std::string(NameOf(kEndpointRoleNames, role)) +
-                                 " " + std::string(holder) + " " +
-                                 std::to_string(fence) + " " +
-                                 std::to_string(accepted)};
-  };
+  dialect.write_role_order =
+      [](const EndpointRecord&, EndpointRole role, std::string_view holder,
+         std::uint64_t fencing_token, std::uint64_t accepted) {
+        return http::Request{
+            .method = "POST",
+            .target = "/order",
+            .body = std::string(NameOf(kEndpointRoleNames, role)) + " " +
+                    std::string(holder) + " " + std::to_string(fencing_token) +
+                    " " + std::to_string(accepted)};
+      };
   return dialect;
 }
 
-void GatewayWorld::Configure(std::optional<std::vector<Customer>> customers) {
+void GatewaySimulation::Configure(
+    std::optional<std::vector<Customer>> customers) {
   auto configuration = std::make_shared<Configuration>();
   configuration->version = ++this->version;
   configuration->offset = LogOffset(this->version);
@@ -255,9 +256,9 @@
   this->core->SetConfiguration(configuration);
 }
 
-void GatewayWorld::AddEndpoint(const std::string& id,
-                               const std::string& service,
-                               EndpointRole role) {
+void GatewaySimulation::AddEndpoint(const std::string& id,
+                                    const std::string& service,
+                                    EndpointRole role) {
   const http::Address address{
       .ip = "10.0.0.1",
       .port = static_cast<std::uint16_t>(1000 + this->addresses.size())};
@@ -273,22 +274,22 @@
                                    .record = this->records[id]});
 }
 
-void GatewayWorld::Retire(const std::string& id) {
+void GatewaySimulation::Retire(const std::string& id) {
   this->records.at(id).leaving = true;
   this->core->Apply(EndpointChange{.offset = LogOffset(++this->offset),
                                    .id = EndpointId(id),
                                    .record = this->records.at(id)});
 }
 
-void GatewayWorld::RemoveEndpoint(const std::string& id) {
+void GatewaySimulation::RemoveEndpoint(const std::string& id) {
   this->core->Apply(EndpointChange{.offset = LogOffset(++this->offset),
                                    .id = EndpointId(id)});
 }
 
-std::shared_ptr<Answer> GatewayWorld::Ask(const std::string& path,
-                                          const std::string& id,
-                                          const std::string& size,
-                                          int deadline_ms) {
+std::shared_ptr<Answer> GatewaySimulation::SendRequest(const std::string& path,
+                                                       const std::string& id,
+                                                       const std::string& size,
+                                                       int deadline_ms) {
   auto answer = std::make_shared<Answer>();
   const auto responder = std::make_shared<FakeResponder>(answer, this->now);
   this->responders.push_back(responder);
@@ -305,21 +306,21 @@
   return answer;
 }
 
-void GatewayWorld::Leave() {
+void GatewaySimulation::Disconnect() {
   if (const auto responder = this->responders.back().lock()) {
-    responder->Leave();
+    responder->Disconnect();
   }
 }
 
-std::vector<std::shared_ptr<Call>> GatewayWorld::Calls() {
+std::vector<std::shared_ptr<Call>> GatewaySimulation::Calls() {
   std::erase_if(this->calls, [](const std::shared_ptr<Call>& call) {
     return call->cancelled;
   });
   return this->calls;
 }
 
-std::shared_ptr<Call> GatewayWorld::FindAt(const std::string& endpoint,
-                                           std::string_view what) {
+std::shared_ptr<Call> GatewaySimulation::FindAt(const std::string& endpoint,
+                                                std::string_view what) {
   const auto open = this->Calls();
   for (auto call = open.rbegin(); call != open.rend(); ++call) {
     const bool here =
@@ -332,14 +333,14 @@
   return nullptr;
 }
 
-std::shared_ptr<Call> GatewayWorld::Find(std::string_view what) {
+std::shared_ptr<Call> GatewaySimulation::Find(std::string_view what) {
   return this->FindAt({}, what);
 }
 
-void GatewayWorld::Reply(const std::shared_ptr<Call>& call,
-                         int status,
-                         const http::Headers& headers,
-                         const std::string& body) {
+void GatewaySimulation::Reply(const std::shared_ptr<Call>& call,
+                              int status,
+                              const http::Headers& headers,
+                              const std::string& body) {
   CPPUNIT_ASSERT_MESSAGE("no such call", call != nullptr);
   std::erase(this->calls, call);
   const http::ExchangeHooks hooks = call->hooks;
@@ -359,17 +360,17 @@
   this->core->OnTimer();
 }
 
-void GatewayWorld::ReplyProof(const std::shared_ptr<Call>& call,
-                              int status,
-                              const std::string& body) {
+void GatewaySimulation::ReplyProof(const std::shared_ptr<Call>& call,
+                                   int status,
+                                   const std::string& body) {
   this->Reply(call, status, {{"Proof", "1"}}, body);
 }
 
-void GatewayWorld::ReplyRefused(const std::shared_ptr<Call>& call) {
+void GatewaySimulation::ReplyRefused(const std::shared_ptr<Call>& call) {
   this->Reply(call, 503, {{"Refused", "1"}});
 }
 
-void GatewayWorld::Break(const std::shared_ptr<Call>& call, bool sent) {
+void GatewaySimulation::Break(const std::shared_ptr<Call>& call, bool sent) {
   CPPUNIT_ASSERT_MESSAGE("no such call", call != nullptr);
   std::erase(this->calls, call);
   const auto hook = call->hooks.on_error;
@@ -377,30 +378,30 @@
   this->core->OnTimer();
 }
 
-void GatewayWorld::Begin(const std::shared_ptr<Call>& call) {
+void GatewaySimulation::Begin(const std::shared_ptr<Call>& call) {
   CPPUNIT_ASSERT_MESSAGE("no such call", call != nullptr);
   call->hooks.on_head(200, {{"Proof", "1"}});
 }
 
-void GatewayWorld::Event(const std::shared_ptr<Call>& call, int id) {
+void GatewaySimulation::Event(const std::shared_ptr<Call>& call, int id) {
   const auto hook = call->hooks.on_data;
   hook("id: " + std::to_string(id) + "\ndata: x\n\n");
 }
 
-void GatewayWorld::End(const std::shared_ptr<Call>& call) {
+void GatewaySimulation::End(const std::shared_ptr<Call>& call) {
   std::erase(this->calls, call);
   const auto hook = call->hooks.on_end;
   hook({});
   this->core->OnTimer();
 }
 
-std::shared_ptr<Call> GatewayWorld::BringToDecode() {
+std::shared_ptr<Call> GatewaySimulation::AdvanceToDecode() {
   this->Reply(this->Find("/reserve/"), 200, {}, "r1");
   this->Reply(this->Find("prefill"), 200, {}, "x1");
   return this->Find("decode");
 }
 
-void GatewayWorld::Pass(Duration time) {
+void GatewaySimulation::AdvanceBy(Duration time) {
   const Instant end = this->now + time;
   while (this->core->next_timer() <= end) {
     this->now = std::max(this->now, this->core->next_timer());
@@ -409,7 +410,7 @@
   this->now = end;
 }
 
-void GatewayWorld::StandStill(Duration time) {
+void GatewaySimulation::Stall(Duration time) {
   this->now += time;
   this->core->OnTimer();
 }
--- a/src/gateway/tests/gateway_world.h
+++ b/src/gateway/tests/gateway_simulation.h
@@ -1,5 +1,5 @@
-#ifndef GATEWAY_TESTS_GATEWAY_WORLD_H_
-#define GATEWAY_TESTS_GATEWAY_WORLD_H_
+#ifndef GATEWAY_TESTS_GATEWAY_SIMULATION_H_
+#define GATEWAY_TESTS_GATEWAY_SIMULATION_H_
 
 #include <functional>
 #include <map>
@@ -41,10 +41,10 @@
 // ms, `Key` is the caller's key; endpoints get the name of its customer as
 // `Customer`, and answer with the headers `Id`, `Proof` (an endpoint's own
 // answer) or `Refused` (it did not run), and `Other` for a wrong address.
-class GatewayWorld {
+class GatewaySimulation {
  public:
   // `repeat_extra`: the budget of repeats beside its share of the requests.
-  explicit GatewayWorld(double repeat_extra = 58);
+  explicit GatewaySimulation(double repeat_extra = 58);
 
   // A configuration with the routes of kRoutes, in force at once; a later call
   // replaces it.
@@ -57,12 +57,12 @@
   void Retire(const std::string& id);
 
   // Sends a caller's request; its answer is filled in as time goes on.
-  std::shared_ptr<Answer> Ask(const std::string& path,
-                              const std::string& id,
-                              const std::string& size = "3000,900",
-                              int deadline_ms = 14000);
+  std::shared_ptr<Answer> SendRequest(const std::string& path,
+                                      const std::string& id,
+                                      const std::string& size = "3000,900",
+                                      int deadline_ms = 14000);
   // The caller of the latest request leaves.
-  void Leave();
+  void Disconnect();
 
   // Requests that are at endpoints now; the newest last.
   std::vector<std::shared_ptr<Call>> Calls();
@@ -86,22 +86,22 @@
   void Event(const std::shared_ptr<Call>& call, int id);
   void End(const std::shared_ptr<Call>& call);
   // Grants the reservation and answers the prefill of the newest generation.
-  std::shared_ptr<Call> BringToDecode();
+  std::shared_ptr<Call> AdvanceToDecode();
 
-  void Pass(Duration time);
+  void AdvanceBy(Duration time);
   // This process stands still for so long: time passes, and nothing that is
   // due or arrives is looked at. Then its event loop looks at its timer, before
   // its sockets, as it may.
-  void StandStill(Duration time);
+  void Stall(Duration time);
 
   Instant now{1h};
   std::string key;  // that callers show; empty: none
   RandomSource random{7};
   std::vector<std::string> events;    // of the log
   std::vector<std::string> released;  // exports and reservations given back
-  Duration stood_still{};             // as the core told
-  std::size_t pauses_told = 0;        // when the core said that there are more
-  std::optional<TurnClaim> turn;
+  Duration stalled_for{};             // as the core told
+  std::size_t pauses_reported = 0;    // when the core said that there are more
+  std::optional<TermGrant> term_grant;
   std::unique_ptr<GatewayCore> core;
   std::map<std::string, http::Address> addresses;
   std::map<std::string, EndpointRecord> records;
@@ -121,4 +121,4 @@
 
 }  // namespace acacialug::gateway::testing
 
-#endif  // GATEWAY_TESTS_GATEWAY_WORLD_H_
+#endif  // GATEWAY_TESTS_GATEWAY_SIMULATION_H_
--- a/src/gateway/tests/late_request_test.cc
+++ b/src/gateway/tests/late_request_test.cc
@@ -4,14 +4,14 @@
 #include <string>
 
 #include "framework/testing/story.h"
-#include "gateway/tests/gateway_world.h"
+#include "gateway/tests/gateway_simulation.h"
 
 namespace acacialug::gateway {
 namespace {
 
 using acacialug::testing::ForEach;
 using acacialug::testing::Section;
-using testing::GatewayWorld;
+using testing::GatewaySimulation;
 
 // Keeps the status it was answered with.
 class StatusResponder : public http::Responder {
@@ -35,7 +35,7 @@
 
 // A gateway that gets a request with a deadline of 1,000 ms after that request
 // has lain unread for `age`.
-struct LateRequest : GatewayWorld {
+struct LateRequest : GatewaySimulation {
   explicit LateRequest(const std::string& path, Duration age) {
     this->Configure();
     this->AddEndpoint("p1", "plain", EndpointRole::kPlain);
@@ -70,8 +70,8 @@
     {"/once/a", "/idempotent/a"},
     PathName,
     [](const std::string& path) {
-      LateRequest world(path, 600ms);
-      const auto call = world.Find(path);
+      LateRequest simulation(path, 600ms);
+      const auto call = simulation.Find(path);
       CPPUNIT_ASSERT(call != nullptr);
       CPPUNIT_ASSERT_EQUAL(
           std::string("400"),
@@ -84,9 +84,9 @@
     kPaths,
     PathName,
     [](const std::string& path) {
-      LateRequest world(path, 1s);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.Calls().size());
-      CPPUNIT_ASSERT_EQUAL(503, world.responder->status);
+      LateRequest simulation(path, 1s);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, simulation.Calls().size());
+      CPPUNIT_ASSERT_EQUAL(503, simulation.responder->status);
     });
 
 const acacialug::testing::Story kLateRequests(
--- a/src/gateway/tests/many_processes_test.cc
+++ b/src/gateway/tests/many_processes_test.cc
@@ -12,7 +12,7 @@
 #include "gateway/call_placement.h"
 #include "gateway/endpoint_health.h"
 #include "gateway/level_choice.h"
-#include "gateway/load_book.h"
+#include "gateway/load_table.h"
 #include "gateway/peer_rounds.h"
 #include "gateway/stream_placement.h"
 #include "gateway/tests/heartbeat_interval.h"
@@ -29,7 +29,7 @@
 constexpr std::size_t kDomains = 6;
 constexpr std::size_t kDecode = 104;
 constexpr std::size_t kPrefill = 56;
-constexpr std::uint32_t kMostFull = 3;  // refusals until one is turned away
+constexpr std::uint32_t kMaxFull = 3;  // refusals until one is turned away
 const EngineTraits kEngine{.slots = 64, .kv_tokens = 26000};
 const GenerationSize kSize{.prompt_tokens = 3000,
                            .max_output_tokens = 900,
@@ -45,10 +45,10 @@
  public:
   struct Process {
     FailureDomain domain;
-    LoadBook book;
+    LoadTable load_table;
     EndpointHealth health;
-    StreamPlacement streams{{}, this->book, this->health};
-    CallPlacement calls{this->book, this->health};
+    StreamPlacement streams{{}, this->load_table, this->health};
+    CallPlacement calls{this->load_table, this->health};
   };
 
   Processes(std::size_t count, Timeline& timeline, RandomSource& source)
@@ -59,9 +59,10 @@
     }
     for (std::size_t number = 0; number < count; ++number) {
       for (const bool near : {true, false}) {
-        this->time.At(kStart + FromSeconds(Seconds(this->Interval(near)) *
-                                           this->random.Unit()),
-                      [this, number, near] { this->Tell(number, near); });
+        this->time.At(
+            kStart + FromSeconds(Seconds(this->Interval(near)) *
+                                 this->random.Unit()),
+            [this, number, near] { this->SendHeartbeat(number, near); });
       }
     }
   }
@@ -76,19 +77,19 @@
   }
 
   // To those of its own domain, or to all others.
-  void Tell(std::size_t number, bool near) {
-    PeerLoad load = this->all[number]->book.Own();
+  void SendHeartbeat(std::size_t number, bool near) {
+    PeerLoad load = this->all[number]->load_table.Own();
     load.near = near;
     this->time.At(this->time.now + kOneWay, [this, number, load] {
       for (std::size_t to = 0; to < this->all.size(); ++to) {
         if (to != number && (DomainOf(to) == DomainOf(number)) == load.near) {
-          this->all[to]->book.SetPeer(std::to_string(number), load,
-                                      this->time.now);
+          this->all[to]->load_table.SetPeer(std::to_string(number), load,
+                                            this->time.now);
         }
       }
     });
     this->time.At(this->time.now + this->Interval(near),
-                  [this, number, near] { this->Tell(number, near); });
+                  [this, number, near] { this->SendHeartbeat(number, near); });
   }
 
   Timeline& time;
@@ -153,7 +154,7 @@
 
   double TokensOf() const {
     return static_cast<double>(
-        StreamPlacement({}, LoadBook(), EndpointHealth()).KvTokens(kSize));
+        StreamPlacement({}, LoadTable(), EndpointHealth()).KvTokens(kSize));
   }
 
   void Arrive() {
@@ -170,7 +171,7 @@
   }
 
   void Place(const GenerationPtr& generation) {
-    const auto place = generation->at->streams.Pick(
+    const auto placement = generation->at->streams.Pick(
         {.size = kSize,
          .objective = 900ms,
          .waited = this->time.now - generation->asked,
@@ -178,74 +179,81 @@
          .domain = generation->at->domain,
          .now = this->time.now},
         kEngine, this->forecast, this->endpoints, this->random);
-    if (!place) {
+    if (!placement) {
       return;
     }
-    generation->at->book.Add(place->decode.id, place->decode_load);
-    if (place->prefill) {
-      generation->at->book.Add(place->prefill->id, place->prefill_load);
+    generation->at->load_table.Add(placement->decode.id,
+                                   placement->decode_load);
+    if (placement->prefill) {
+      generation->at->load_table.Add(placement->prefill->id,
+                                     placement->prefill_load);
     }
-    this->time.At(this->time.now + kOneWay, [this, generation, place = *place] {
-      this->Reserve(generation, place);
-    });
+    this->time.At(this->time.now + kOneWay,
+                  [this, generation, placement = *placement] {
+                    this->Reserve(generation, placement);
+                  });
   }
 
   // At the endpoint.
   void Reserve(const GenerationPtr& generation,
-               const StreamPlacement::Place& place) {
-    std::uint64_t& held = this->held[place.decode.id];
+               const StreamPlacement::Placement& placement) {
+    std::uint64_t& held = this->held[placement.decode.id];
     const bool granted =
-        held + place.decode_load.kv_tokens <= kEngine.kv_tokens;
-    held += granted ? place.decode_load.kv_tokens : 0;
-    this->time.At(this->time.now + kOneWay, [this, generation, place, granted] {
-      if (granted) {
-        this->Prefill(generation, place);
-      } else {
-        this->Refuse(generation, place);
-      }
-    });
+        held + placement.decode_load.kv_tokens <= kEngine.kv_tokens;
+    held += granted ? placement.decode_load.kv_tokens : 0;
+    this->time.At(this->time.now + kOneWay,
+                  [this, generation, placement, granted] {
+                    if (granted) {
+                      this->Prefill(generation, placement);
+                    } else {
+                      this->Refuse(generation, placement);
+                    }
+                  });
   }
 
   void Refuse(const GenerationPtr& generation,
-              const StreamPlacement::Place& place) {
+              const StreamPlacement::Placement& placement) {
     ++this->count.refused;
     Process& process = *generation->at;
-    process.health.NoteFull(place.decode.id, this->time.now);
-    process.book.Remove(place.decode.id, place.decode_load);
-    if (place.prefill) {
-      process.book.Remove(place.prefill->id, place.prefill_load);
+    process.health.NoteFull(placement.decode.id, this->time.now);
+    process.load_table.Remove(placement.decode.id, placement.decode_load);
+    if (placement.prefill) {
+      process.load_table.Remove(placement.prefill->id, placement.prefill_load);
     }
-    generation->tried.push_back(place.decode.id);
-    if (generation->tried.size() < kMostFull) {
+    generation->tried.push_back(placement.decode.id);
+    if (generation->tried.size() < kMaxFull) {
       this->Place(generation);
     }
   }
 
   // One prompt after the other.
   void Prefill(const GenerationPtr& generation,
-               const StreamPlacement::Place& place) {
-    const EndpointId at = place.prefill ? place.prefill->id : place.decode.id;
+               const StreamPlacement::Placement& placement) {
+    const EndpointId at =
+        placement.prefill ? placement.prefill->id : placement.decode.id;
     Instant& free_at = this->free_at[at];
     free_at = std::max(free_at, this->time.now) +
               this->forecast.PrefillTime(kSize.prompt_tokens);
-    this->time.At(free_at, [this, generation, place] {
-      if (place.prefill) {
-        generation->at->book.Remove(place.prefill->id, place.prefill_load);
+    this->time.At(free_at, [this, generation, placement] {
+      if (placement.prefill) {
+        generation->at->load_table.Remove(placement.prefill->id,
+                                          placement.prefill_load);
       }
-      this->Decode(generation, place);
+      this->Decode(generation, placement);
     });
   }
 
   void Decode(const GenerationPtr& generation,
-              const StreamPlacement::Place& place) {
+              const StreamPlacement::Placement& placement) {
     const Duration first =
         this->time.now + this->forecast.FirstEvent() - generation->asked;
     this->count.placed += first <= 900ms ? 1 : 0;
-    const Duration life =
+    const Duration lifetime =
         FromSeconds(Seconds(this->Hold()) * (0.5 + this->random.Unit()));
-    this->time.At(this->time.now + life, [this, generation, place] {
-      this->held[place.decode.id] -= place.decode_load.kv_tokens;
-      generation->at->book.Remove(place.decode.id, place.decode_load);
+    this->time.At(this->time.now + lifetime, [this, generation, placement] {
+      this->held[placement.decode.id] -= placement.decode_load.kv_tokens;
+      generation->at->load_table.Remove(placement.decode.id,
+                                        placement.decode_load);
     });
   }
 
@@ -305,14 +313,14 @@
       ++this->ended;
       return;
     }
-    at.book.Add(endpoint->id, {.requests = 1});
+    at.load_table.Add(endpoint->id, {.requests = 1});
     std::vector<Instant>& slots = this->free_at[endpoint->id];
     slots.resize(kSlots, kStart);
     const auto slot = std::min_element(slots.begin(), slots.end());
     *slot = std::max(*slot, this->time.now) + kWork;
     this->time.At(
         *slot, [this, &at, id = endpoint->id, asked = this->time.now] {
-          at.book.Remove(id, {.requests = 1});
+          at.load_table.Remove(id, {.requests = 1});
           ++this->ended;
           this->in_time += this->time.now - asked <= 5 * kWork ? 1 : 0;
         });
--- a/src/gateway/tests/quarantine_fleet_test.cc
+++ b/src/gateway/tests/quarantine_fleet_test.cc
@@ -52,7 +52,7 @@
       for (const bool near : {true, false}) {
         this->time.At(kStart + FromSeconds(Seconds(this->Interval(near)) *
                                            this->random.Unit()),
-                      [this, number, near] { this->TellRound(number, near); });
+                      [this, number, near] { this->SendRound(number, near); });
       }
     }
     for (std::size_t request = 0; request < kDeadlyRequests; ++request) {
@@ -116,27 +116,27 @@
                                       near);
   }
 
-  void TellRound(std::size_t number, bool near) {
+  void SendRound(std::size_t number, bool near) {
     Process& from = this->all[number];
-    const auto told = from.ledger->CollectReports(
+    const auto reported = from.ledger->CollectReports(
         protocol::kMaxPeerHeartbeatCrashes, from.rounds[near ? 1 : 0]++,
         this->time.now);
     for (std::size_t to = 0; to < this->all.size(); ++to) {
       if (to != number &&
           near == (this->DomainOf(to) == this->DomainOf(number)) &&
           !this->Cut(number, to) && this->random.Unit() >= this->options.lost) {
-        this->time.At(this->time.now + kOneWay, [this, number, to, told] {
-          this->Hear(number, to, told);
+        this->time.At(this->time.now + kOneWay, [this, number, to, reported] {
+          this->ReceiveReports(number, to, reported);
         });
       }
     }
     this->time.At(this->time.now + this->Interval(near),
-                  [this, number, near] { this->TellRound(number, near); });
+                  [this, number, near] { this->SendRound(number, near); });
   }
 
-  void Hear(std::size_t from,
-            std::size_t to,
-            const std::vector<retry::CrashRecord>& told) {
+  void ReceiveReports(std::size_t from,
+                      std::size_t to,
+                      const std::vector<retry::CrashRecord>& reported) {
     Process& process = this->all[to];
     process.heard_at.resize(this->all.size());
     const Instant before =
@@ -144,7 +144,7 @@
     if (this->time.now - before > kPeerMemory) {
       process.ledger->ResendReports(this->time.now);
     }
-    for (const retry::CrashRecord& record : told) {
+    for (const retry::CrashRecord& record : reported) {
       process.ledger->Merge(record, this->time.now);
     }
   }
--- a/src/gateway/tests/quarantine_test.cc
+++ b/src/gateway/tests/quarantine_test.cc
@@ -8,7 +8,7 @@
 
 #include "framework/testing/story.h"
 #include "gateway/request_key.h"
-#include "gateway/tests/gateway_world.h"
+#include "gateway/tests/gateway_simulation.h"
 
 namespace acacialug::gateway {
 namespace {
@@ -18,13 +18,13 @@
 using acacialug::testing::Section;
 using testing::Answer;
 using testing::Call;
-using testing::GatewayWorld;
+using testing::GatewaySimulation;
 using AnswerPtr = std::shared_ptr<Answer>;
 
 constexpr int kEndpoints = 8;
 
 // Endpoints that prefill, decode, and answer plain requests.
-struct World : GatewayWorld {
+struct World : GatewaySimulation {
   World() {
     this->Configure();
     for (int number = 0; number < kEndpoints; ++number) {
@@ -36,13 +36,13 @@
   }
 
   AnswerPtr Attempt(const std::string& path) {
-    return this->Ask(path, "r" + std::to_string(++this->attempts));
+    return this->SendRequest(path, "r" + std::to_string(++this->attempts));
   }
 
   // An attempt under which its decode endpoint ends.
   void Crash(const std::string& path) {
     this->Attempt(path);
-    this->Break(this->BringToDecode());
+    this->Break(this->AdvanceToDecode());
   }
 
   // A peer tells of three endpoints that ended under a request.
@@ -67,52 +67,53 @@
 
 const std::vector<PhaseCase> kPhases = {
     {"while it decodes, one in each attempt", "/stream/a",
-     [](World& world) {
+     [](World& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
-         world.Crash("/stream/a");
+         simulation.Crash("/stream/a");
        }
      }},
     {"while it decodes, two of them in one attempt", "/resumable/a",
-     [](World& world) {
-       world.Crash("/resumable/a");
-       world.Break(world.BringToDecode());
-       world.Crash("/resumable/a");
+     [](World& simulation) {
+       simulation.Crash("/resumable/a");
+       simulation.Break(simulation.AdvanceToDecode());
+       simulation.Crash("/resumable/a");
      }},
     {"in the middle of its stream", "/stream/a",
-     [](World& world) {
+     [](World& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
-         world.Attempt("/stream/a");
-         const auto decode = world.BringToDecode();
-         world.Begin(decode);
-         world.Event(decode, 0);
-         world.Break(decode);
+         simulation.Attempt("/stream/a");
+         const auto decode = simulation.AdvanceToDecode();
+         simulation.Begin(decode);
+         simulation.Event(decode, 0);
+         simulation.Break(decode);
        }
      }},
     {"while its prompt is computed", "/stream/a",
-     [](World& world) {
+     [](World& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
-         world.Attempt("/stream/a");
-         world.Reply(world.Find("/reserve/"), 200, {}, "v");
-         world.Break(world.Find("prefill"));
-         world.Leave();
+         simulation.Attempt("/stream/a");
+         simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
+         simulation.Break(simulation.Find("prefill"));
+         simulation.Disconnect();
        }
      }},
     {"of plain requests that may run again", "/idempotent/a",
-     [](World& world) {
-       world.Attempt("/idempotent/a");
-       world.Break(world.Find("/idempotent/a"));
-       world.Break(world.Find("/idempotent/a"));
-       world.Attempt("/idempotent/a");
-       world.Break(world.Find("/idempotent/a"));
+     [](World& simulation) {
+       simulation.Attempt("/idempotent/a");
+       simulation.Break(simulation.Find("/idempotent/a"));
+       simulation.Break(simulation.Find("/idempotent/a"));
+       simulation.Attempt("/idempotent/a");
+       simulation.Break(simulation.Find("/idempotent/a"));
      }},
     {"of plain requests that run once", "/once/a",
-     [](World& world) {
+     [](World& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
-         world.Attempt("/once/a");
-         world.Break(world.Find("/once/a"));
+         simulation.Attempt("/once/a");
+         simulation.Break(simulation.Find("/once/a"));
        }
      }},
-    {"at peers", "/stream/a", [](World& world) { world.HearOf("/stream/a"); }}};
+    {"at peers", "/stream/a",
+     [](World& simulation) { simulation.HearOf("/stream/a"); }}};
 
 // Where a request stands when a peer tells that three endpoints ended under it.
 struct StandCase {
@@ -124,66 +125,82 @@
 
 const std::vector<StandCase> kStands = {
     {"while it waits for a place",
-     [](World& world) {
+     [](World& simulation) {
        for (int number = 0; number < kEndpoints; ++number) {
-         world.RemoveEndpoint("d" + std::to_string(number));
+         simulation.RemoveEndpoint("d" + std::to_string(number));
        }
-       return world.Attempt("/stream/a");
+       return simulation.Attempt("/stream/a");
      },
-     [](World& world) {
-       world.AddEndpoint("late", "model", EndpointRole::kDecode);
+     [](World& simulation) {
+       simulation.AddEndpoint("late", "model", EndpointRole::kDecode);
      }},
     {"while it asks for memory",
-     [](World& world) { return world.Attempt("/stream/a"); },
-     [](World& world) {
-       world.Reply(world.Find("/reserve/"), 200, {}, "v");
-       CPPUNIT_ASSERT_EQUAL(std::string("/reserve/v"), world.released.back());
+     [](World& simulation) { return simulation.Attempt("/stream/a"); },
+     [](World& simulation) {
+       simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
+       CPPUNIT_ASSERT_EQUAL(std::string("/reserve/v"),
+                            simulation.released.back());
      }},
     {"while it is refused memory",
-     [](World& world) { return world.Attempt("/stream/a"); },
-     [](World& world) { world.Reply(world.Find("/reserve/"), 503, {}); }},
+     [](World& simulation) { return simulation.Attempt("/stream/a"); },
+     [](World& simulation) {
+       simulation.Reply(simulation.Find("/reserve/"), 503, {});
+     }},
     {"while its prompt is computed",
-     [](World& world) {
-       auto answer = world.Attempt("/stream/a");
-       world.Reply(world.Find("/reserve/"), 200, {}, "v");
+     [](World& simulation) {
+       auto answer = simulation.Attempt("/stream/a");
+       simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
        return answer;
      },
-     [](World& world) {
-       world.Reply(world.Find("prefill"), 200, {}, "x1");
-       CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1},
-                            std::count(world.released.begin(),
-                                       world.released.end(), "/export/x1"));
+     [](World& simulation) {
+       simulation.Reply(simulation.Find("prefill"), 200, {}, "x1");
+       CPPUNIT_ASSERT_EQUAL(
+           std::ptrdiff_t{1},
+           std::count(simulation.released.begin(), simulation.released.end(),
+                      "/export/x1"));
      }},
     {"while its prompt is computed, in vain",
-     [](World& world) {
-       auto answer = world.Attempt("/stream/a");
-       world.Reply(world.Find("/reserve/"), 200, {}, "v");
+     [](World& simulation) {
+       auto answer = simulation.Attempt("/stream/a");
+       simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
        return answer;
      },
-     [](World& world) { world.Reply(world.Find("prefill"), 500, {}); }},
+     [](World& simulation) {
+       simulation.Reply(simulation.Find("prefill"), 500, {});
+     }},
     {"before its decode endpoint rejects it",
-     [](World& world) {
-       auto answer = world.Attempt("/stream/a");
-       world.BringToDecode();
+     [](World& simulation) {
+       auto answer = simulation.Attempt("/stream/a");
+       simulation.AdvanceToDecode();
        return answer;
      },
-     [](World& world) { world.ReplyRefused(world.Find("decode")); }},
+     [](World& simulation) {
+       simulation.ReplyRefused(simulation.Find("decode"));
+     }},
     {"before its decode endpoint is lost",
-     [](World& world) {
-       auto answer = world.Attempt("/resumable/a");
-       world.BringToDecode();
+     [](World& simulation) {
+       auto answer = simulation.Attempt("/resumable/a");
+       simulation.AdvanceToDecode();
        return answer;
      },
-     [](World& world) { world.Break(world.Find("decode")); }, 502},
+     [](World& simulation) { simulation.Break(simulation.Find("decode")); },
+     502},
     {"before a plain endpoint rejects it",
-     [](World& world) { return world.Attempt("/once/a"); },
-     [](World& world) { world.ReplyRefused(world.Find("/once/a")); }},
+     [](World& simulation) { return simulation.Attempt("/once/a"); },
+     [](World& simulation) {
+       simulation.ReplyRefused(simulation.Find("/once/a"));
+     }},
     {"before a plain endpoint is lost",
-     [](World& world) { return world.Attempt("/idempotent/a"); },
-     [](World& world) { world.Break(world.Find("/idempotent/a")); }, 502},
+     [](World& simulation) { return simulation.Attempt("/idempotent/a"); },
+     [](World& simulation) {
+       simulation.Break(simulation.Find("/idempotent/a"));
+     },
+     502},
     {"before a plain endpoint fails",
-     [](World& world) { return world.Attempt("/idempotent/a"); },
-     [](World& world) { world.ReplyProof(world.Find("/idempotent/a"), 500); },
+     [](World& simulation) { return simulation.Attempt("/idempotent/a"); },
+     [](World& simulation) {
+       simulation.ReplyProof(simulation.Find("/idempotent/a"), 500);
+     },
      500}};
 
 const acacialug::testing::Story kStory(
@@ -191,169 +208,170 @@
     {It("is refused at once after the third, in whichever attempt it comes",
         [] {
           // Guards against a request that ends one endpoint after the other.
-          World world;
+          World simulation;
           for (int crash = 0; crash < 3; ++crash) {
-            world.Crash("/stream/a");
+            simulation.Crash("/stream/a");
           }
-          const auto answer = world.Ask("/stream/a", "again");
+          const auto answer = simulation.SendRequest("/stream/a", "again");
           CPPUNIT_ASSERT_EQUAL(503, answer->status);
-          CPPUNIT_ASSERT(world.Calls().empty());
+          CPPUNIT_ASSERT(simulation.Calls().empty());
         }),
      ForEach<PhaseCase>(
          "is sent nowhere after three have ended",
          kPhases,
          [](const PhaseCase& row) { return row.name; },
          [](const PhaseCase& row) {
-           World world;
-           row.crashes(world);
+           World simulation;
+           row.crashes(simulation);
            CPPUNIT_ASSERT_MESSAGE("nothing is under way",
-                                  world.Calls().empty());
-           const auto answer = world.Attempt(row.path);
+                                  simulation.Calls().empty());
+           const auto answer = simulation.Attempt(row.path);
            CPPUNIT_ASSERT_EQUAL(503, answer->status);
            CPPUNIT_ASSERT(std::stod(answer->retry_after) > 590);
-           CPPUNIT_ASSERT(world.Calls().empty());
+           CPPUNIT_ASSERT(simulation.Calls().empty());
            CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                                world.core->requests_quarantined());
+                                simulation.core->requests_quarantined());
          }),
      ForEach<StandCase>(
          "is sent nowhere once a peer tells of the third",
          kStands,
          [](const StandCase& row) { return row.name; },
          [](const StandCase& row) {
-           World world;
-           const auto answer = row.stands(world);
+           World simulation;
+           const auto answer = row.stands(simulation);
            for (const char* const path :
                 {"/stream/a", "/resumable/a", "/idempotent/a", "/once/a"}) {
-             world.HearOf(path);
+             simulation.HearOf(path);
            }
-           row.goes_on(world);
+           row.goes_on(simulation);
            CPPUNIT_ASSERT_EQUAL(row.status, answer->status);
-           CPPUNIT_ASSERT(world.Calls().empty());
-           CPPUNIT_ASSERT(world.core->OwnLoad().rows.empty());
+           CPPUNIT_ASSERT(simulation.Calls().empty());
+           CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
          }),
      It("is left where it runs, silent or not, when a peer tells of the third",
         [] {
-          World world;
-          const auto answer = world.Attempt("/resumable/a");
-          const auto decode = world.BringToDecode();
-          world.Begin(decode);
-          world.Event(decode, 0);
-          world.HearOf("/resumable/a");
-          world.Pass(3s);
-          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.Calls().size());
-          world.Event(decode, 1);
-          world.End(decode);
+          World simulation;
+          const auto answer = simulation.Attempt("/resumable/a");
+          const auto decode = simulation.AdvanceToDecode();
+          simulation.Begin(decode);
+          simulation.Event(decode, 0);
+          simulation.HearOf("/resumable/a");
+          simulation.AdvanceBy(3s);
+          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, simulation.Calls().size());
+          simulation.Event(decode, 1);
+          simulation.End(decode);
           CPPUNIT_ASSERT(answer->ended && !answer->cut);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
-                               world.core->requests_quarantined());
+                               simulation.core->requests_quarantined());
         }),
      Section(
          "leaves alone",
          {It("another request of the same caller",
              [] {
-               World world;
+               World simulation;
                for (int crash = 0; crash < 3; ++crash) {
-                 world.Crash("/stream/a");
+                 simulation.Crash("/stream/a");
                }
-               CPPUNIT_ASSERT(!world.Attempt("/stream/b")->ended);
+               CPPUNIT_ASSERT(!simulation.Attempt("/stream/b")->ended);
              }),
           It("one that was beside it at two endpoints, and goes on at a third",
              [] {
                // Guards against refusing a request for the crashes of others.
-               World world;
-               const auto first = world.Attempt("/resumable/b");
-               world.Break(world.BringToDecode());
-               world.Break(world.BringToDecode());
+               World simulation;
+               const auto first = simulation.Attempt("/resumable/b");
+               simulation.Break(simulation.AdvanceToDecode());
+               simulation.Break(simulation.AdvanceToDecode());
                CPPUNIT_ASSERT_EQUAL(502, first->status);
-               const auto second = world.Attempt("/resumable/b");
-               const auto decode = world.BringToDecode();
-               world.Begin(decode);
-               world.Event(decode, 0);
-               world.End(decode);
+               const auto second = simulation.Attempt("/resumable/b");
+               const auto decode = simulation.AdvanceToDecode();
+               simulation.Begin(decode);
+               simulation.Event(decode, 0);
+               simulation.End(decode);
                CPPUNIT_ASSERT(second->ended && !second->cut);
                // Its answer clears it.
-               world.Crash("/resumable/b");
-               CPPUNIT_ASSERT(world.Find("/reserve/") != nullptr);
+               simulation.Crash("/resumable/b");
+               CPPUNIT_ASSERT(simulation.Find("/reserve/") != nullptr);
              }),
           It("one that went to three endpoints in one attempt as they ended",
              [] {
                // Guards against refusing a request for the crashes of others.
-               World world;
-               const auto first = world.Attempt("/resumable/b");
-               world.Reply(world.Find("/reserve/"), 200, {}, "v");
-               world.Break(world.Find("prefill"));
-               world.Break(world.BringToDecode());
-               world.Break(world.BringToDecode());
+               World simulation;
+               const auto first = simulation.Attempt("/resumable/b");
+               simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
+               simulation.Break(simulation.Find("prefill"));
+               simulation.Break(simulation.AdvanceToDecode());
+               simulation.Break(simulation.AdvanceToDecode());
                CPPUNIT_ASSERT_EQUAL(502, first->status);
-               CPPUNIT_ASSERT(!world.Attempt("/resumable/b")->ended);
+               CPPUNIT_ASSERT(!simulation.Attempt("/resumable/b")->ended);
              }),
           It("requests that look the same when many endpoints end at once",
              [] {
                // Guards against refusing a whole kind of requests.
-               World world;
-               world.Attempt("/idempotent/a");
-               world.ReplyProof(world.Find("/idempotent/a"), 200, "ok");
+               World simulation;
+               simulation.Attempt("/idempotent/a");
+               simulation.ReplyProof(simulation.Find("/idempotent/a"), 200,
+                                     "ok");
                for (int crash = 0; crash < 3; ++crash) {
-                 world.Attempt("/idempotent/a");
-                 world.Break(world.Find("/idempotent/a"));
-                 world.Break(world.Find("/idempotent/a"));
+                 simulation.Attempt("/idempotent/a");
+                 simulation.Break(simulation.Find("/idempotent/a"));
+                 simulation.Break(simulation.Find("/idempotent/a"));
                }
-               CPPUNIT_ASSERT(!world.Attempt("/idempotent/a")->ended);
+               CPPUNIT_ASSERT(!simulation.Attempt("/idempotent/a")->ended);
              }),
           It("one that an endpoint refused, or that never reached one",
              [] {
-               World world;
+               World simulation;
                for (int time = 0; time < 4; ++time) {
-                 world.Attempt("/once/a");
-                 world.Break(world.Find("/once/a"), false);
-                 world.ReplyRefused(world.Find("/once/a"));
-                 world.Leave();
+                 simulation.Attempt("/once/a");
+                 simulation.Break(simulation.Find("/once/a"), false);
+                 simulation.ReplyRefused(simulation.Find("/once/a"));
+                 simulation.Disconnect();
                }
-               CPPUNIT_ASSERT(!world.Attempt("/once/a")->ended);
+               CPPUNIT_ASSERT(!simulation.Attempt("/once/a")->ended);
              }),
           It("one whose endpoints leave as they were told to",
              [] {
                // Guards against refusing what a replacement of endpoints cuts
                // off.
-               World world;
+               World simulation;
                for (int time = 0; time < 3; ++time) {
-                 world.Attempt("/stream/a");
-                 const auto decode = world.BringToDecode();
+                 simulation.Attempt("/stream/a");
+                 const auto decode = simulation.AdvanceToDecode();
                  for (int number = 0; number < kEndpoints; ++number) {
                    const std::string id = "d" + std::to_string(number);
-                   if (decode->address == world.addresses.at(id)) {
-                     world.Retire(id);
+                   if (decode->address == simulation.addresses.at(id)) {
+                     simulation.Retire(id);
                    }
                  }
-                 world.Break(decode);
+                 simulation.Break(decode);
                }
-               CPPUNIT_ASSERT(!world.Attempt("/stream/a")->ended);
+               CPPUNIT_ASSERT(!simulation.Attempt("/stream/a")->ended);
              }),
           It("one that an endpoint refused before it broke off",
              [] {
-               World world;
+               World simulation;
                for (int time = 0; time < 4; ++time) {
-                 world.Attempt("/stream/a");
-                 const auto decode = world.BringToDecode();
+                 simulation.Attempt("/stream/a");
+                 const auto decode = simulation.AdvanceToDecode();
                  decode->hooks.on_head(503, {{"Refused", "1"}});
-                 world.Break(decode);
-                 world.Leave();
+                 simulation.Break(decode);
+                 simulation.Disconnect();
                }
-               CPPUNIT_ASSERT(!world.Attempt("/stream/a")->ended);
+               CPPUNIT_ASSERT(!simulation.Attempt("/stream/a")->ended);
              }),
           It("one of which a peer tells what is long past",
              [] {
-               World world;
-               world.HearOf("/stream/a", 11min);
-               CPPUNIT_ASSERT(!world.Attempt("/stream/a")->ended);
+               World simulation;
+               simulation.HearOf("/stream/a", 11min);
+               CPPUNIT_ASSERT(!simulation.Attempt("/stream/a")->ended);
              })}),
      It("is tried again after its quarantine", [] {
-       World world;
+       World simulation;
        for (int crash = 0; crash < 3; ++crash) {
-         world.Crash("/stream/a");
+         simulation.Crash("/stream/a");
        }
-       world.Pass(10min);
-       CPPUNIT_ASSERT(!world.Attempt("/stream/a")->ended);
+       simulation.AdvanceBy(10min);
+       CPPUNIT_ASSERT(!simulation.Attempt("/stream/a")->ended);
      })});
 
 }  // namespace
--- a/src/gateway/tests/quota_fleet.cc
+++ b/src/gateway/tests/quota_fleet.cc
@@ -12,13 +12,13 @@
 constexpr Duration kLength = 30s;
 constexpr Duration kOneWay = 1500us;
 constexpr double kMeanTokens = 6000;
-constexpr double kLeastTokens = 2000;
+constexpr double kMinTokens = 2000;
 
 }  // namespace
 
-QuotaFleet::QuotaFleet(const QuotaCase& quota_case, MakeWay maker)
+QuotaFleet::QuotaFleet(const QuotaCase& quota_case, MakeStrategy maker)
     : options(quota_case),
-      make_way(std::move(maker)),
+      make_strategy(std::move(maker)),
       time(kStart),
       random(quota_case.seed),
       all(quota_case.processes),
@@ -29,7 +29,7 @@
     for (const bool near : {true, false}) {
       this->time.At(kStart + FromSeconds(Seconds(this->Interval(near)) *
                                          this->random.Unit()),
-                    [this, number, near] { this->TellRound(number, near); });
+                    [this, number, near] { this->SendRound(number, near); });
     }
   }
   // The users' traffic begins when the processes have long heard each other.
@@ -51,8 +51,8 @@
 
 void QuotaFleet::Begin(std::size_t number) {
   Process& process = this->all[number];
-  process = {.way = this->make_way(*this, number),
-             .incarnation = Incarnation(++this->lives)};
+  process = {.strategy = this->make_strategy(*this, number),
+             .incarnation = Incarnation(++this->incarnations)};
 }
 
 void QuotaFleet::End(std::size_t number) {
@@ -70,14 +70,14 @@
 
 quota::Quota QuotaFleet::limit() const {
   const bool lowered = this->time.now >= kStart + 10s;
-  const double part = lowered ? this->options.lowered : 1;
+  const double part = lowered ? this->options.lowered_factor : 1;
   return {.per_second = part * kLimit.per_second, .burst = part * kLimit.burst};
 }
 
 bool QuotaFleet::Cut(std::size_t number) const {
   return this->time.now >= kStart + 4s && this->time.now < kStart + 14s &&
          static_cast<double>(number) <
-             this->options.cut * static_cast<double>(this->all.size());
+             this->options.cut_share * static_cast<double>(this->all.size());
 }
 
 bool QuotaFleet::Reaches(std::size_t one, std::size_t other) const {
@@ -89,10 +89,10 @@
   return HeartbeatInterval(this->all.size(), this->options.domains, near);
 }
 
-void QuotaFleet::TellRound(std::size_t number, bool near) {
+void QuotaFleet::SendRound(std::size_t number, bool near) {
   if (this->all[number].up) {
-    const auto news = std::make_shared<const QuotaNews>(
-        this->all[number].way.tell(near ? 0 : 1, this->time.now));
+    const auto report = std::make_shared<const QuotaReport>(
+        this->all[number].strategy.collect(near ? 0 : 1, this->time.now));
     const Incarnation incarnation = this->all[number].incarnation;
     for (std::size_t to = 0; to < this->all.size(); ++to) {
       if (to == number || !this->Reaches(number, to) ||
@@ -100,20 +100,21 @@
               (to % this->options.domains == number % this->options.domains)) {
         continue;
       }
-      this->told += news->uses.size();
-      if (this->random.Unit() < this->options.lost) {
+      this->reported_uses += report->uses.size();
+      if (this->random.Unit() < this->options.loss_share) {
         continue;
       }
-      this->time.At(this->time.now + kOneWay, [this, number, to, news,
-                                               incarnation] {
-        if (this->all[to].up) {
-          this->all[to].way.hear(number, incarnation, *news, this->time.now);
-        }
-      });
+      this->time.At(this->time.now + kOneWay,
+                    [this, number, to, report, incarnation] {
+                      if (this->all[to].up) {
+                        this->all[to].strategy.receive(number, incarnation,
+                                                       *report, this->time.now);
+                      }
+                    });
     }
   }
   this->time.At(this->time.now + this->Interval(near),
-                [this, number, near] { this->TellRound(number, near); });
+                [this, number, near] { this->SendRound(number, near); });
 }
 
 bool QuotaFleet::Owed(double amount) {
@@ -133,15 +134,17 @@
   const Duration since = this->time.now - kStart;
   const bool hot = since >= 5s && since < 12s;
   const double rate = kLimit.per_second * this->options.demand *
-                      (hot ? this->options.hot : 1) / kMeanTokens;
+                      (hot ? this->options.burst_factor : 1) / kMeanTokens;
   const double amount =
-      kLeastTokens + 2 * (kMeanTokens - kLeastTokens) * this->random.Unit();
-  const std::size_t through =
-      this->options.through == 0 ? this->all.size() : this->options.through;
+      kMinTokens + 2 * (kMeanTokens - kMinTokens) * this->random.Unit();
+  const std::size_t through = this->options.reached_processes == 0
+                                  ? this->all.size()
+                                  : this->options.reached_processes;
   const std::size_t number = this->random.Below(through);
   if (this->all[number].up) {
     const bool owed_now = this->Owed(amount);
-    const bool granted = this->all[number].way.take(amount, this->time.now);
+    const bool granted =
+        this->all[number].strategy.take(amount, this->time.now);
     this->owed += owed_now ? amount : 0;
     this->refused += owed_now && !granted ? amount : 0;
     if (granted) {
@@ -164,7 +167,7 @@
     }
     // A lowered limit binds a window after it is known.
     const bool lowered = grant.at >= kStart + 10s + kWindow;
-    const double part = lowered ? this->options.lowered : 1;
+    const double part = lowered ? this->options.lowered_factor : 1;
     const double allowed =
         part * (kLimit.per_second * Seconds(kWindow) + kLimit.burst) *
             (1 + kOvershoot) +
@@ -174,10 +177,10 @@
   return fullest;
 }
 
-double QuotaFleet::news_per_second() const {
+double QuotaFleet::reports_per_second() const {
   constexpr double kBytesOfUse = 28;
-  return static_cast<double>(this->told) * kBytesOfUse / Seconds(kLength) /
-         static_cast<double>(this->all.size());
+  return static_cast<double>(this->reported_uses) * kBytesOfUse /
+         Seconds(kLength) / static_cast<double>(this->all.size());
 }
 
 }  // namespace acacialug::gateway::testing
--- a/src/gateway/tests/quota_fleet.h
+++ b/src/gateway/tests/quota_fleet.h
@@ -16,20 +16,20 @@
 namespace acacialug::gateway::testing {
 
 // What a process tells its peers of one customer.
-struct QuotaNews {
+struct QuotaReport {
   std::vector<quota::QuotaUse> uses;
   double demand = 0;  // a second
 };
 
 // How a process shares a customer's limit with the others. One life of it.
-struct QuotaWay {
+struct QuotaStrategy {
   std::function<bool(double amount, Instant now)> take;
-  std::function<QuotaNews(std::size_t group, Instant now)> tell;
+  std::function<QuotaReport(std::size_t group, Instant now)> collect;
   std::function<void(std::size_t from,
                      Incarnation incarnation,
-                     const QuotaNews& news,
+                     const QuotaReport& report,
                      Instant now)>
-      hear;
+      receive;
 };
 
 // What befalls the processes, and what their customer sends.
@@ -37,14 +37,15 @@
   std::string name;
   std::size_t processes = 26;
   std::size_t domains = 4;
-  std::size_t through = 0;  // processes that its requests reach; 0: all
-  double demand = 0.56;     // of the limit
-  double hot = 1;           // times that, from 5 s to 12 s
-  double lowered = 1;       // of the limit, from 10 s on
-  double lost = 0;          // share of the datagrams
+  std::size_t reached_processes =
+      0;                      // processes that its requests reach; 0: all
+  double demand = 0.56;       // of the limit
+  double burst_factor = 1;    // times that, from 5 s to 12 s
+  double lowered_factor = 1;  // of the limit, from 10 s on
+  double loss_share = 0;      // share of the datagrams
   // From 4 s to 14 s each of this share of the processes hears nobody, and is
   // heard by nobody.
-  double cut = 0;
+  double cut_share = 0;
   bool all_restart = false;   // at 9 s, and are back a second later
   bool roll_restart = false;  // one after the other, each second
   std::uint64_t seed = 1;
@@ -60,10 +61,10 @@
 // tell each other in the rounds of their heartbeats.
 class QuotaFleet {
  public:
-  using MakeWay =
-      std::function<QuotaWay(const QuotaFleet& fleet, std::size_t number)>;
+  using MakeStrategy =
+      std::function<QuotaStrategy(const QuotaFleet& fleet, std::size_t number)>;
 
-  QuotaFleet(const QuotaCase& quota_case, MakeWay make_way);
+  QuotaFleet(const QuotaCase& quota_case, MakeStrategy make_strategy);
 
   void Run();
 
@@ -72,20 +73,20 @@
   // The most that was taken in a window, over what the users allow; 1: all.
   double fullest_window() const;
   // In all news, a second and process.
-  double news_per_second() const;
+  double reports_per_second() const;
 
   // What a way may see.
   std::size_t size() const { return this->all.size(); }
   Instant now() const { return this->time.now; }
   quota::Quota limit() const;
   bool Reaches(std::size_t one, std::size_t other) const;
-  const QuotaWay& way(std::size_t number) const {
-    return this->all[number].way;
+  const QuotaStrategy& strategy(std::size_t number) const {
+    return this->all[number].strategy;
   }
 
  private:
   struct Process {
-    QuotaWay way;
+    QuotaStrategy strategy;
     Incarnation incarnation;
     bool up = true;
   };
@@ -98,14 +99,14 @@
   void End(std::size_t number);
   void RollOn(std::size_t number);
   Duration Interval(bool near) const;
-  void TellRound(std::size_t number, bool near);
+  void SendRound(std::size_t number, bool near);
   void Arrive();
   // Whether the request is within the limit, by an account that sees all.
   bool Owed(double amount);
   bool Cut(std::size_t number) const;
 
   const QuotaCase options;
-  const MakeWay make_way;
+  const MakeStrategy make_strategy;
   Timeline time;
   RandomSource random;
   std::vector<Process> all;
@@ -114,16 +115,18 @@
   Instant saved_at{};
   double owed = 0;
   double refused = 0;
-  std::uint64_t told = 0;
-  std::uint64_t lives = 0;
+  std::uint64_t reported_uses = 0;
+  std::uint64_t incarnations = 0;
 };
 
 // Ways that were weighed.
-QuotaFleet::MakeWay LedgerWay();       // quota::QuotaLedger
-QuotaFleet::MakeWay ReportsWay();      // the same, with no part for the silent
-QuotaFleet::MakeWay EvenSplitWay();    // a bucket each, of an even part
-QuotaFleet::MakeWay DemandWay();       // parts by what each is asked for
-QuotaFleet::MakeWay HomeProcessWay();  // one of them keeps the account
+QuotaFleet::MakeStrategy LedgerStrategy();  // quota::QuotaLedger
+QuotaFleet::MakeStrategy
+ReportsStrategy();  // the same, with no part for the silent
+QuotaFleet::MakeStrategy EvenSplitStrategy();  // a bucket each, of an even part
+QuotaFleet::MakeStrategy DemandStrategy();  // parts by what each is asked for
+QuotaFleet::MakeStrategy
+HomeProcessStrategy();  // one of them keeps the account
 
 }  // namespace acacialug::gateway::testing
 
--- a/src/gateway/tests/quota_fleet_test.cc
+++ b/src/gateway/tests/quota_fleet_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 using acacialug::testing::ForEach;
-using testing::LedgerWay;
+using testing::LedgerStrategy;
 using testing::QuotaCase;
 using testing::QuotaFleet;
 
@@ -29,7 +29,7 @@
   for (std::uint64_t seed = 1; seed <= SeedsOf(row); ++seed) {
     QuotaCase seeded = row;
     seeded.seed = seed;
-    QuotaFleet fleet(seeded, LedgerWay());
+    QuotaFleet fleet(seeded, LedgerStrategy());
     fleet.Run();
     CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed),
                            fleet.fullest_window() <= 1);
@@ -41,7 +41,7 @@
   for (std::uint64_t seed = 1; seed <= SeedsOf(row); ++seed) {
     QuotaCase seeded = row;
     seeded.seed = seed;
-    QuotaFleet fleet(seeded, LedgerWay());
+    QuotaFleet fleet(seeded, LedgerStrategy());
     fleet.Run();
     refused += fleet.wrongly_refused();
   }
@@ -50,46 +50,55 @@
 
 const std::vector<QuotaCase> kInTouch = {
     {.name = "steady"},
-    {.name = "through two processes", .through = 2},
+    {.name = "through two processes", .reached_processes = 2},
     {.name = "at five processes", .processes = 5},
     {.name = "at 103 processes", .processes = 103, .domains = 6},
-    {.name = "beside lossy links", .lost = 0.3},
+    {.name = "beside lossy links", .loss_share = 0.3},
 };
 
 const std::vector<QuotaCase> kBeyond = {
-    {.name = "at three times its usual", .hot = 3},
-    {.name = "at eight times its usual", .hot = 8},
-    {.name = "through two processes", .through = 2, .hot = 8},
-    {.name = "at 103 processes", .processes = 103, .domains = 6, .hot = 8},
-    {.name = "beside lossy links", .hot = 8, .lost = 0.3},
-    {.name = "whose limit is lowered", .hot = 3, .lowered = 0.3},
-    {.name = "with half of the processes cut off", .hot = 8, .cut = 0.5},
-    {.name = "with each process cut off", .hot = 8, .cut = 1},
+    {.name = "at three times its usual", .burst_factor = 3},
+    {.name = "at eight times its usual", .burst_factor = 8},
+    {.name = "through two processes",
+     .reached_processes = 2,
+     .burst_factor = 8},
+    {.name = "at 103 processes",
+     .processes = 103,
+     .domains = 6,
+     .burst_factor = 8},
+    {.name = "beside lossy links", .burst_factor = 8, .loss_share = 0.3},
+    {.name = "whose limit is lowered",
+     .burst_factor = 3,
+     .lowered_factor = 0.3},
+    {.name = "with half of the processes cut off",
+     .burst_factor = 8,
+     .cut_share = 0.5},
+    {.name = "with each process cut off", .burst_factor = 8, .cut_share = 1},
     // Guards against: each of many parts lends itself a whole request.
     {.name = "with half of 103 processes cut off",
      .processes = 103,
      .domains = 6,
-     .hot = 8,
-     .cut = 0.5},
+     .burst_factor = 8,
+     .cut_share = 0.5},
     {.name = "with each of 103 processes cut off",
      .processes = 103,
      .domains = 6,
-     .hot = 8,
-     .cut = 1},
+     .burst_factor = 8,
+     .cut_share = 1},
     {.name = "when 103 processes start anew",
      .processes = 103,
      .domains = 6,
-     .hot = 8,
+     .burst_factor = 8,
      .all_restart = true},
-    {.name = "when all start anew", .hot = 8, .all_restart = true},
+    {.name = "when all start anew", .burst_factor = 8, .all_restart = true},
     {.name = "when one after the other starts anew",
-     .hot = 8,
+     .burst_factor = 8,
      .roll_restart = true},
     {.name = "cut off, lossy and starting anew, with its limit lowered",
-     .hot = 8,
-     .lowered = 0.5,
-     .lost = 0.2,
-     .cut = 0.35,
+     .burst_factor = 8,
+     .lowered_factor = 0.5,
+     .loss_share = 0.2,
+     .cut_share = 0.35,
      .roll_restart = true},
 };
 
--- a/src/gateway/tests/quota_ways.cc
+++ b/src/gateway/tests/quota_strategies.cc
@@ -15,7 +15,7 @@
 
 constexpr quota::CustomerKey kCustomer{7};
 constexpr double kLargestRequest = 10'000;
-constexpr std::size_t kMostTold = 8;
+constexpr std::size_t kMaxReported = 8;
 
 // A bucket whose size may change.
 struct Bucket {
@@ -34,25 +34,25 @@
   }
 };
 
-QuotaWay WayBy(const std::shared_ptr<QuotaLedger>& ledger) {
+QuotaStrategy StrategyOf(const std::shared_ptr<QuotaLedger>& ledger) {
   return {.take =
               [ledger](double amount, Instant now) {
                 return ledger->Take(kCustomer, amount, now).granted;
               },
-          .tell =
+          .collect =
               [ledger](std::size_t group, Instant now) {
-                return QuotaNews{
-                    .uses = ledger->CollectReports(group, kMostTold, now)};
+                return QuotaReport{
+                    .uses = ledger->CollectReports(group, kMaxReported, now)};
               },
-          .hear =
+          .receive =
               [ledger](std::size_t from, Incarnation incarnation,
-                       const QuotaNews& news, Instant now) {
+                       const QuotaReport& report, Instant now) {
                 ledger->OnPeerReport(std::to_string(from), incarnation,
-                                     news.uses, now);
+                                     report.uses, now);
               }};
 }
 
-QuotaFleet::MakeWay LedgerOf(const QuotaLedger::Options& options) {
+QuotaFleet::MakeStrategy LedgerOf(const QuotaLedger::Options& options) {
   return [options](const QuotaFleet& fleet, std::size_t number) {
     QuotaLedger::Options own = options;
     own.quota_of = [&fleet](quota::CustomerKey) { return fleet.limit(); };
@@ -63,29 +63,29 @@
         ledger->OnPeerListed(std::to_string(peer), fleet.now());
       }
     }
-    return WayBy(ledger);
+    return StrategyOf(ledger);
   };
 }
 
 }  // namespace
 
-QuotaFleet::MakeWay LedgerWay() {
+QuotaFleet::MakeStrategy LedgerStrategy() {
   return LedgerOf({.tolerance = {.overshoot = kOvershoot, .spare = kSlack},
-                   .shares = {.heartbeat_timeout = SilenceOf}});
+                   .shares = {.heartbeat_timeout = HeartbeatTimeout}});
 }
 
-QuotaFleet::MakeWay ReportsWay() {
+QuotaFleet::MakeStrategy ReportsStrategy() {
   return LedgerOf(
       {.shares = {.heartbeat_timeout = [](std::size_t) { return 1h; },
                   .retention = 1h,
                   .listed_retention = 0s}});
 }
 
-QuotaFleet::MakeWay EvenSplitWay() {
+QuotaFleet::MakeStrategy EvenSplitStrategy() {
   return [](const QuotaFleet& fleet, std::size_t /*number*/) {
     const auto bucket = std::make_shared<Bucket>(
         Bucket{.saved = kLargestRequest, .at = Instant(1h)});
-    return QuotaWay{
+    return QuotaStrategy{
         .take =
             [bucket, &fleet](double amount, Instant now) {
               const Quota whole = fleet.limit();
@@ -96,12 +96,13 @@
                    .burst = std::max(whole.burst / parts, kLargestRequest)},
                   now);
             },
-        .tell = [](std::size_t, Instant) { return QuotaNews{}; },
-        .hear = [](std::size_t, Incarnation, const QuotaNews&, Instant) {}};
+        .collect = [](std::size_t, Instant) { return QuotaReport{}; },
+        .receive = [](std::size_t, Incarnation, const QuotaReport&,
+                      Instant) {}};
   };
 }
 
-QuotaFleet::MakeWay DemandWay() {
+QuotaFleet::MakeStrategy DemandStrategy() {
   struct State {
     Bucket bucket;
     double demand = 0;
@@ -118,7 +119,7 @@
       state->asked_at = now;
       state->demand *= std::max(0.0, 1 - passed / kMemory);
     };
-    return QuotaWay{
+    return QuotaStrategy{
         .take =
             [state, decay, &fleet](double amount, Instant now) {
               decay(now);
@@ -136,17 +137,18 @@
                    .burst = std::max(share * whole.burst, kLargestRequest)},
                   now);
             },
-        .tell =
+        .collect =
             [state, decay](std::size_t, Instant now) {
               decay(now);
-              return QuotaNews{.uses = {{}}, .demand = state->demand};
+              return QuotaReport{.uses = {{}}, .demand = state->demand};
             },
-        .hear = [state](std::size_t from, Incarnation, const QuotaNews& news,
-                        Instant) { state->peers[from] = news.demand; }};
+        .receive = [state](std::size_t from, Incarnation,
+                           const QuotaReport& report,
+                           Instant) { state->peers[from] = report.demand; }};
   };
 }
 
-QuotaFleet::MakeWay HomeProcessWay() {
+QuotaFleet::MakeStrategy HomeProcessStrategy() {
   // What the home of the customer keeps; a new life of it begins with a part.
   return [](const QuotaFleet& fleet, std::size_t number) {
     constexpr std::size_t kHome = 0;
@@ -154,14 +156,14 @@
         Bucket{.saved = kLimit.burst / 2, .at = Instant(1h)});
     const auto floor = std::make_shared<Bucket>(
         Bucket{.saved = kLargestRequest, .at = Instant(1h)});
-    return QuotaWay{
+    return QuotaStrategy{
         .take =
             [account, floor, number, &fleet](double amount, Instant now) {
               if (number == kHome) {
                 return account->Take(amount, fleet.limit(), now);
               }
               if (fleet.Reaches(number, kHome)) {
-                return fleet.way(kHome).take(amount, now);
+                return fleet.strategy(kHome).take(amount, now);
               }
               const auto parts = static_cast<double>(fleet.size());
               return floor->Take(
@@ -170,8 +172,9 @@
                    .burst = kLargestRequest},
                   now);
             },
-        .tell = [](std::size_t, Instant) { return QuotaNews{}; },
-        .hear = [](std::size_t, Incarnation, const QuotaNews&, Instant) {}};
+        .collect = [](std::size_t, Instant) { return QuotaReport{}; },
+        .receive = [](std::size_t, Incarnation, const QuotaReport&,
+                      Instant) {}};
   };
 }
 
--- a/src/gateway/types/endpoint_dialect.h
+++ b/src/gateway/types/endpoint_dialect.h
@@ -87,7 +87,7 @@
   std::function<http::Request(const EndpointRecord& endpoint,
                               EndpointRole role,
                               std::string_view holder,
-                              std::uint64_t fence,
+                              std::uint64_t fencing_token,
                               std::uint64_t accepted)>
       write_role_order;
   // Asks an endpoint how many orders it has accepted; and its answer, empty if
--- a/src/gateway/types/endpoint_record.h
+++ b/src/gateway/types/endpoint_record.h
@@ -29,7 +29,7 @@
   // When it started, Unix milliseconds by its own clock; 0: it does not say. A
   // runner that starts again may keep its id, and is another endpoint then: it
   // holds nothing of before.
-  std::int64_t born = 0;
+  std::int64_t started_at_ms = 0;
   bool leaving = false;  // takes no new work
 
   friend bool operator==(const EndpointRecord&,
--- a/src/gateway_process/gateway_process.cc
+++ b/src/gateway_process/gateway_process.cc
@@ -170,16 +170,16 @@
               this->client.DropIdle(address);
             },
         .wake_at = [this](Instant at) { this->WakeAt(at); },
-        .on_standstill =
+        .on_stall =
             [this](Duration up_to) {
               this->registry.Get(kGatewayStandstillSeconds)
                   .Record(Seconds(up_to));
             },
         .on_load_changed = [this] { this->peers.OnLoadChanged(); },
         .on_pauses_changed = [this] { this->peers.TellPauses(); },
-        .claim_turn = this->options.claim_turn,
+        .acquire_term = this->options.acquire_term,
         .on_quarantine = this->options.on_quarantine,
-        .note =
+        .log =
             [this](log::Level level, std::string_view event,
                    log::Record record) {
               log::WriteLimited(
@@ -227,24 +227,22 @@
             },
         .tell_crashes =
             [this](std::size_t most, std::size_t round) {
-              return this->core.TellCrashes(most, round);
+              return this->core.CollectCrashReports(most, round);
             },
         .on_crash =
             [this](const retry::CrashRecord& told) { this->SetCrash(told); },
-        .on_newcomer = [this] { this->core.TellCrashesAgain(); },
+        .on_newcomer = [this] { this->core.ResendCrashReports(); },
         .tell_quotas =
             [this](std::size_t group, std::size_t most) {
-              return this->core.TellQuotas(group, most);
+              return this->core.CollectQuotaReports(group, most);
             },
         .on_heard =
             [this](const std::string& peer, Incarnation incarnation,
                    const std::vector<quota::QuotaUse>& told) {
-              this->core.NotePeerHeard(peer, incarnation, told);
+              this->core.OnPeerHeartbeat(peer, incarnation, told);
             },
         .on_listed =
-            [this](const std::string& peer) {
-              this->core.NotePeerListed(peer);
-            },
+            [this](const std::string& peer) { this->core.OnPeerListed(peer); },
         .on_peer_count =
             [this](std::size_t heard, std::size_t known, bool first) {
               this->core.SetPeers(known, first);
--- a/src/gateway_process/gateway_process.h
+++ b/src/gateway_process/gateway_process.h
@@ -10,7 +10,7 @@
 #include "framework/global/random_source.h"
 #include "framework/global/types/result.h"
 #include "framework/metrics/registry.h"
-#include "gateway/order_turn.h"
+#include "gateway/leader_term.h"
 #include "gateway/types/configuration.h"
 #include "gateway/types/endpoint_dialect.h"
 #include "gateway/types/endpoint_record.h"
@@ -27,10 +27,10 @@
   struct Options {
     GatewaySettings settings;
     gateway::EndpointDialect dialect;
-    // As gateway::GatewayHooks::claim_turn; may be empty.
+    // As gateway::GatewayHooks::acquire_term; may be empty.
     std::function<void(
-        std::function<void(std::optional<gateway::TurnClaim>)> on_done)>
-        claim_turn;
+        std::function<void(std::optional<gateway::TermGrant>)> on_done)>
+        acquire_term;
     // As gateway::GatewayHooks::on_quarantine; may be empty.
     std::function<void(const retry::CrashRecord& record)> on_quarantine;
     // Runs once after Drain, when every request has its answer, or when the
--- a/src/gateway_process/internal/catalog_page.cc
+++ b/src/gateway_process/internal/catalog_page.cc
@@ -203,7 +203,7 @@
           {"domain", record.domain.text},
           {"role", NameOf(gateway::kEndpointRoleNames, record.role)},
           {"slots", record.slots},
-          {"born", record.born},
+          {"born", record.started_at_ms},
           {"leaving", record.leaving}};
 }
 
@@ -220,7 +220,7 @@
       .domain = FailureDomain(json.at("domain").get<std::string>()),
       .role = ReadEnum(json.at("role"), gateway::kEndpointRoleNames),
       .slots = json.at("slots"),
-      .born = json.value("born", std::int64_t{0}),
+      .started_at_ms = json.value("born", std::int64_t{0}),
       .leaving = json.at("leaving")};
   EndpointChange change{.offset = LogOffset(json.at("offset")),
                         .id = record.id};
--- a/src/gateway_process/internal/settings_reader.cc
+++ b/src/gateway_process/internal/settings_reader.cc
@@ -51,9 +51,9 @@
   into.output_share =
       table.Number("output_share",
                    {.fallback = into.output_share, .minimum = 0, .maximum = 2});
-  into.own_prefill_fill = table.Number(
+  into.local_prefill_fill = table.Number(
       "own_prefill_fill",
-      {.fallback = into.own_prefill_fill, .minimum = 0, .maximum = 1});
+      {.fallback = into.local_prefill_fill, .minimum = 0, .maximum = 1});
   into.prefill_wait_share = table.Number(
       "prefill_wait_share",
       {.fallback = into.prefill_wait_share, .minimum = 0.01, .maximum = 10});
@@ -65,18 +65,18 @@
 
 void ReadAdmission(const settings::Table& table,
                    gateway::AdmissionQueue::Options& into) {
-  into.longest_wait = table.Duration(
+  into.max_wait = table.Duration(
       "longest_wait",
-      {.fallback = into.longest_wait, .minimum = 0ms, .maximum = 1min});
-  into.longest_late_wait = table.Duration(
+      {.fallback = into.max_wait, .minimum = 0ms, .maximum = 1min});
+  into.max_late_wait = table.Duration(
       "longest_late_wait",
-      {.fallback = into.longest_late_wait, .minimum = 0ms, .maximum = 1min});
-  into.least_retry = table.Duration(
+      {.fallback = into.max_late_wait, .minimum = 0ms, .maximum = 1min});
+  into.min_retry = table.Duration(
       "least_retry",
-      {.fallback = into.least_retry, .minimum = 10ms, .maximum = 1h});
-  into.longest_retry = table.Duration(
+      {.fallback = into.min_retry, .minimum = 10ms, .maximum = 1h});
+  into.max_retry = table.Duration(
       "longest_retry",
-      {.fallback = into.longest_retry, .minimum = 10ms, .maximum = 1h});
+      {.fallback = into.max_retry, .minimum = 10ms, .maximum = 1h});
   into.return_share = table.Number(
       "return_share",
       {.fallback = into.return_share, .minimum = 0.01, .maximum = 1});
--- a/src/gateway_process/tests/gateway_process_test.cc
+++ b/src/gateway_process/tests/gateway_process_test.cc
@@ -130,7 +130,7 @@
           CPPUNIT_ASSERT_EQUAL(7.0, read.repeat_extra);
           CPPUNIT_ASSERT_EQUAL(0.1, read.quotas.overshoot);
           CPPUNIT_ASSERT_EQUAL(140000.0, read.quotas.spare);
-          CPPUNIT_ASSERT(read.admission.longest_wait == Duration(20ms));
+          CPPUNIT_ASSERT(read.admission.max_wait == Duration(20ms));
           CPPUNIT_ASSERT(!read.operations_listen);
         }),
      ForEach<RenderedSetting>(
