--- a/src/gateway/types/configuration.h
+++ b/src/gateway/types/configuration.h
@@ -13,12 +13,12 @@
 
 namespace acacialug::gateway {
 
-// What may happen to a request more than once.
+// How often a request may run.
 enum class WorkKind {
   kIdempotent,       // may run any number of times
-  kNonIdempotent,    // may run once at most
-  kStream,           // a stream of events that may run once at most
-  kResumableStream,  // a stream that another endpoint may go on with
+  kNonIdempotent,    // runs at most once
+  kStream,           // a stream of events that runs at most once
+  kResumableStream,  // a stream that another endpoint may continue
 };
 inline constexpr EnumNames<WorkKind, 4> kWorkKindNames = {
     {{WorkKind::kIdempotent, "idempotent"},
@@ -41,26 +41,28 @@
 
 struct Route {
   std::string name;
-  std::string host;         // as in the Host header, without a port
+  std::string host;         // as in the Host header, without the port
   std::string path_prefix;  // begins and ends with a slash
   WorkKind kind = WorkKind::kIdempotent;
   std::vector<WeightedService> services;  // never empty
-  std::uint32_t max_endpoints = 1;        // that may run one request
+  std::uint32_t max_endpoints = 1;        // that may run the same request
   std::uint32_t priority = 0;             // 0 is served first
   Duration timeout{};                     // from arrival to the final answer
-  Duration objective{};  // to a whole answer, or the first event
-  // The longest pause between two events that is on time; zero: none stated.
+  // From arrival to the complete answer or, for a stream, its first event.
+  Duration objective{};
+  // The max time between two events of a stream that is on time. Zero: no limit
+  // is set.
   Duration longest_pause{};
-  bool open_to_all = false;  // needs no customer's key
+  bool open_to_all = false;  // no customer key is required
 };
 
-// How a model engine of a service works, as its operator declares it.
+// The properties of a service's model engine, as its operator declares them.
 struct EngineTraits {
   std::uint32_t slots = 1;
-  std::uint64_t kv_tokens = 0;         // that one endpoint's memory holds
+  std::uint64_t kv_tokens = 0;         // capacity of one endpoint's memory
   std::uint32_t tokens_per_event = 1;  // of a stream
   Duration export_lifetime{};          // of a prefilled prompt
-  Duration role_switch{};              // prefill to decode and back
+  Duration role_switch{};              // between prefill and decode
 };
 
 struct ServiceTraits {
@@ -70,7 +72,8 @@
   std::optional<EngineTraits> engine;  // empty: a plain service
 };
 
-// What a caller may send, and how long it may take or stay idle.
+// Limits on the size of a caller's request, and on how long a caller may take
+// to send it or stay idle.
 struct CallerLimits {
   std::uint64_t max_header_bytes = 16384;
   std::uint64_t max_body_bytes = 4194304;
@@ -78,14 +81,14 @@
   Duration idle_timeout = 15s;
 };
 
-// One whole configuration. A later one replaces it; none is ever changed.
+// One complete configuration. It is immutable; a later one replaces it.
 struct Configuration {
   std::uint64_t version = 0;
-  LogOffset offset;  // of the record that holds it; a later one is newer
+  LogOffset offset;  // of its record; a greater offset is newer
   std::vector<Route> routes;
   std::vector<ServiceTraits> services;
   CallerLimits limits;
-  // Empty: nobody needs a key. No key belongs to two of them.
+  // Empty: no request needs a key. A key belongs to one customer only.
   std::optional<std::vector<Customer>> customers;
 };
 
--- a/src/gateway/types/customer.h
+++ b/src/gateway/types/customer.h
@@ -13,24 +13,24 @@
 
 namespace acacialug::gateway {
 
-// Stands for a customer's key, which is kept nowhere: its SHA-256.
+// The SHA-256 of a customer's key. The key itself is not stored.
 struct KeyDigest {
   std::array<std::uint64_t, 4> words{};
 
   friend auto operator<=>(const KeyDigest&, const KeyDigest&) = default;
 };
 
-// What a customer's limit is counted in.
+// The unit of a customer's limit.
 enum class LimitUnit { kRequests, kTokens };
 inline constexpr EnumNames<LimitUnit, 2> kLimitUnitNames = {
     {{LimitUnit::kRequests, "requests"}, {LimitUnit::kTokens, "tokens"}}};
 
-// What a customer may ask for, at all processes together.
+// The request rate that a customer may use at all processes together.
 struct CustomerLimit {
   LimitUnit unit = LimitUnit::kRequests;
   double per_second = 0;  // zero: no limit
   double burst = 0;
-  // What a request without a stated size counts, in tokens.
+  // Tokens that a request without a stated size counts as.
   std::uint64_t unsized_tokens = 1;
 
   friend bool operator==(const CustomerLimit&, const CustomerLimit&) = default;
@@ -39,7 +39,7 @@
 struct Customer {
   CustomerName name;
   std::vector<KeyDigest> keys;
-  std::optional<std::uint32_t> priority;  // in place of the route's
+  std::optional<std::uint32_t> priority;  // overrides the route's
   CustomerLimit limit;
 };
 
--- a/src/gateway/types/endpoint_dialect.h
+++ b/src/gateway/types/endpoint_dialect.h
@@ -13,9 +13,9 @@
 
 namespace acacialug::gateway {
 
-// What an endpoint is asked to do with a request.
+// The part of a request that an endpoint is to run.
 enum class WorkStep {
-  kWhole,    // run it
+  kWhole,    // run all of it
   kPrefill,  // compute its prompt and keep the result for another endpoint
   kDecode,   // fetch the computed prompt and run it
 };
@@ -26,21 +26,21 @@
 
 struct WorkOrder {
   WorkStep step = WorkStep::kWhole;
-  Duration time_left{};     // the endpoint stops work when it is over
-  std::string export_name;  // kDecode: what the prefill told
+  Duration time_left{};     // the endpoint stops the work when it has passed
+  std::string export_name;  // kDecode: as the prefill reported it
   http::Address export_from;
-  std::string reservation;  // of memory at the endpoint; empty: none
+  std::string reservation;  // of memory at the endpoint; may be empty
   std::optional<std::uint64_t> resume_after;
 };
 
-// What an answer's head says of the request.
+// What the head of an answer says about the request.
 enum class AnswerNature {
   kForeign,    // an answer to another request
-  kNotRun,     // it did not run here and never will
+  kNotRun,     // it did not run at the endpoint and will not
   kMisplaced,  // as kNotRun: another endpoint, or one with another role
-  kSuccess,    // it ran; the answer's body follows
-  kFailure,    // it ran, or was found invalid, and failed; so says the endpoint
-  kUnproven,   // no answer of an endpoint's: it may have run
+  kSuccess,    // it ran; the body follows
+  kFailure,    // the endpoint reports that it ran and failed, or is invalid
+  kUnproven,   // the answer is not from an endpoint; it may have run
 };
 inline constexpr EnumNames<AnswerNature, 6> kAnswerNatureNames = {
     {{AnswerNature::kForeign, "foreign"},
@@ -51,12 +51,12 @@
      {AnswerNature::kUnproven, "unproven"}}};
 
 struct PrefillExport {
-  std::string name;  // of the computed prompt, at the endpoint that has it
+  std::string name;  // of the computed prompt at the endpoint that holds it
   std::uint64_t tokens = 0;
 };
 
-// How callers' requests and endpoints' messages read on the wire. Each hook is
-// a pure function, thread safe.
+// Reads callers' requests, and reads and writes endpoints' messages, in their
+// wire format. Each hook is a pure function and thread safe.
 struct EndpointDialect {
   std::function<WorkRequest(http::Request request)> read_request;
   std::function<http::Request(const WorkRequest& request,
@@ -68,34 +68,36 @@
                              int status,
                              const http::Headers& headers)>
       judge_answer;
-  // Empty: the body is not what it should be.
+  // Returns empty if the body is malformed.
   std::function<std::optional<PrefillExport>(std::string_view body)>
       read_export;
-  // Asks a decode endpoint to set memory and a slot aside. Empty hooks: the
-  // endpoints cannot, and decode memory is given out by what is known of it.
+  // Requests a reservation of memory and a slot at a decode endpoint. The hook
+  // is empty if endpoints have no reservations; decode memory is then allocated
+  // by the known load alone.
   std::function<http::Request(const EndpointRecord& endpoint,
                               std::uint64_t kv_tokens,
                               Duration lifetime)>
       write_reserve;
-  // The reservation's name; empty: refused, or not what it should be.
+  // Returns the reservation's name, or empty if the endpoint refused or the
+  // answer is malformed.
   std::function<std::optional<std::string>(int status, std::string_view body)>
       read_reservation;
   std::function<http::Request(std::string_view reservation)> write_unreserve;
-  // Orders an endpoint to change its role, unless it has accepted another
-  // number of orders than `accepted` meanwhile: an order that is carried out
-  // seconds late must not undo a newer one.
+  // Orders an endpoint to change its role, unless the number of orders that it
+  // has accepted differs from `accepted`: an order that is carried out seconds
+  // late must not undo a newer one.
   std::function<http::Request(const EndpointRecord& endpoint,
                               EndpointRole role,
                               std::string_view holder,
                               std::uint64_t fencing_token,
                               std::uint64_t accepted)>
       write_role_order;
-  // Asks an endpoint how many orders it has accepted; and its answer, empty if
-  // it is not what it should be.
+  // Queries the number of orders that an endpoint has accepted.
   std::function<http::Request(const EndpointRecord& endpoint)> write_report;
+  // Reads the answer to it. Returns empty if the answer is malformed.
   std::function<std::optional<std::uint64_t>(std::string_view body)>
       read_accepted_orders;
-  // Gives a computed prompt back that nobody will fetch.
+  // Releases a computed prompt that no endpoint will fetch.
   std::function<http::Request(std::string_view export_name)> write_release;
 };
 
--- a/src/gateway/types/endpoint_load.h
+++ b/src/gateway/types/endpoint_load.h
@@ -9,11 +9,11 @@
 
 namespace acacialug::gateway {
 
-// Work that is placed at an endpoint and not over.
+// Work that is placed at an endpoint and has not ended.
 struct EndpointLoad {
   std::uint32_t requests = 0;
-  std::uint64_t kv_tokens = 0;       // what runs and is to come will take
-  std::uint64_t prefill_tokens = 0;  // prompts not yet computed
+  std::uint64_t kv_tokens = 0;       // for running and coming work
+  std::uint64_t prefill_tokens = 0;  // of prompts that are not computed yet
 
   bool empty() const {
     return this->requests == 0 && this->kv_tokens == 0 &&
@@ -25,7 +25,7 @@
     this->prefill_tokens += other.prefill_tokens;
     return *this;
   }
-  // Precondition: not less in any part.
+  // Precondition: no member of `other` is greater than its counterpart here.
   EndpointLoad& operator-=(const EndpointLoad& other) {
     this->requests -= other.requests;
     this->kv_tokens -= other.kv_tokens;
@@ -35,30 +35,30 @@
   friend bool operator==(const EndpointLoad&, const EndpointLoad&) = default;
 };
 
-// Why an endpoint takes no work for a while.
+// Why an endpoint temporarily takes no work.
 enum class PauseReason : std::uint8_t {
-  kRoleChange,   // it takes none in any case
-  kUnreachable,  // the teller could not reach it
+  kRoleChange,   // it takes no work from any process
+  kUnreachable,  // the reporting process could not reach it
 };
 inline constexpr EnumNames<PauseReason, 2> kPauseReasonNames = {
     {{PauseReason::kRoleChange, "role_change"},
      {PauseReason::kUnreachable, "unreachable"}}};
 
-// An endpoint that takes no work for a while.
+// An endpoint that temporarily takes no work.
 struct EndpointPause {
   std::uint64_t endpoint_key = 0;  // hash of the endpoint's id
   Duration left{};
   PauseReason reason = PauseReason::kRoleChange;
 };
 
-// What one process has placed, for its peers.
+// The work that one process has placed, as reported to its peers.
 struct PeerLoad {
   struct Row {
     std::uint64_t endpoint_key = 0;  // hash of the endpoint's id
     EndpointLoad load;
   };
   std::vector<Row> rows;
-  bool near = false;  // of the reader's failure domain
+  bool near = false;  // the process is in the receiver's failure domain
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/types/endpoint_record.h
+++ b/src/gateway/types/endpoint_record.h
@@ -18,17 +18,17 @@
      {EndpointRole::kPrefill, "prefill"},
      {EndpointRole::kDecode, "decode"}}};
 
-// One start of an endpoint, as its own record tells it.
+// One incarnation of an endpoint, as its own record describes it.
 struct EndpointRecord {
   EndpointId id;
   ServiceName service;
-  http::Address address;  // used again by others when this start is gone
+  http::Address address;  // others may reuse it after this incarnation's end
   FailureDomain domain;
   EndpointRole role = EndpointRole::kPlain;
   std::uint32_t slots = 1;
-  // When it started, Unix milliseconds by its own clock; 0: it does not say. A
-  // runner that starts again may keep its id, and is another endpoint then: it
-  // holds nothing of before.
+  // When it started, in Unix milliseconds by its own clock; 0: it does not
+  // report the time. A runner that restarts may keep its id. It is another
+  // endpoint then, and holds none of the earlier work.
   std::int64_t started_at_ms = 0;
   bool leaving = false;  // takes no new work
 
@@ -43,11 +43,11 @@
   std::optional<EndpointRecord> record;  // empty: deleted
 };
 
-// All records as they stood at an offset.
+// All records at an offset of the log.
 struct EndpointSnapshot {
-  LogOffset as_of;  // changes from here on are not in it
-  // What is not in it is gone. False: its record may have lapsed only, while
-  // the store was out.
+  LogOffset as_of;  // changes from this offset on are not included
+  // An endpoint that is not included has ended. False: its record may only have
+  // lapsed during an outage of the store.
   bool settled = false;
   std::vector<EndpointChange> records;
 };
--- a/src/gateway/types/gateway_hooks.h
+++ b/src/gateway/types/gateway_hooks.h
@@ -14,7 +14,8 @@
 
 namespace acacialug::gateway {
 
-// What the core needs from its process. All run on the core's thread.
+// The functions that the core needs from its process. All run on the core's
+// thread.
 struct GatewayHooks {
   std::function<Instant()> now;
   // As http::Client::Send, Cancel and DropIdle.
@@ -24,23 +25,25 @@
       send;
   std::function<void(http::Client::ExchangeId exchange)> cancel;
   std::function<void(const http::Address& address)> drop_idle;
-  // The core's timer is due at this time, sooner than was told before. Call
-  // OnTimer then; next_timer() tells the time of the next.
+  // The core's timer is due at `at`, which is earlier than the time passed
+  // before. Call OnTimer then; next_timer() returns the time of the next call.
   std::function<void(Instant at)> wake_at;
-  // The process stood still for up to so long; nothing was rung for it yet.
+  // The process was stalled for at most `up_to`, and no timer has fired since.
   // Read what has arrived, and then call OnTimer again.
   std::function<void(Duration up_to)> on_stall;
   // OwnLoad() changed.
   std::function<void()> on_load_changed;
-  // OwnPauses() has more: peers must hear of it before they place anything.
+  // OwnPauses() has a new entry. Peers must receive it before they place more
+  // work.
   std::function<void()> on_pauses_changed;
-  // Asks the store for a turn of orders; empty: roles are nobody's to change.
+  // Requests a leader term from the store. Empty: no process changes roles.
   std::function<void(std::function<void(std::optional<TermGrant>)> on_done)>
       acquire_term;
-  // This process quarantined a request, or, if the record has no ends,
-  // freed it: to be kept for processes that all start anew. May be empty.
+  // This process quarantined a request or, if the record has no ends, released
+  // it from quarantine. The record is to be stored, for the case that all
+  // processes restart. May be empty.
   std::function<void(const retry::CrashRecord& record)> on_quarantine;
-  // A line of the log.
+  // Writes a log entry.
   std::function<
       void(log::Level level, std::string_view event, log::Record record)>
       log;
--- a/src/gateway/types/relay_outcome.h
+++ b/src/gateway/types/relay_outcome.h
@@ -13,12 +13,12 @@
 
 // How a request ended, as its caller sees it.
 enum class RelayEnd {
-  kServed,      // an endpoint's success, whole
-  kFailed,      // an endpoint's own failure, passed on
+  kServed,      // an endpoint's complete success
+  kFailed,      // an endpoint's own failure, forwarded
   kRefused,     // it did not run
-  kUnknown,     // it may have run, and its answer is lost
-  kBroken,      // its stream was cut off
-  kCallerGone,  // the caller left first
+  kUnknown,     // it may have run; its answer is lost
+  kBroken,      // its stream was interrupted
+  kCallerGone,  // the caller disconnected first
 };
 inline constexpr EnumNames<RelayEnd, 6> kRelayEndNames = {
     {{RelayEnd::kServed, "served"},
@@ -31,15 +31,15 @@
 struct RelayOutcome {
   RelayEnd end = RelayEnd::kServed;
   ResultCode code = ResultCode::kOk;
-  int status = 0;            // that the caller got; 0: none
-  Duration first_byte{};     // from arrival; zero: none came
+  int status = 0;            // that the caller received; 0: none
+  Duration first_byte{};     // from arrival; zero: none was sent
   Duration whole{};          // from arrival to the end
-  Duration waited{};         // for a place
+  Duration waited{};         // for capacity
   Duration longest_pause{};  // between two events of a stream
-  std::uint32_t sends = 0;   // to endpoints, prefills not counted
+  std::uint32_t sends = 0;   // to endpoints, without prefills
   std::uint32_t prefills = 0;
   std::uint32_t events = 0;
-  std::uint32_t losses = 0;  // endpoints lost while they had it
+  std::uint32_t losses = 0;  // endpoints lost during its run
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/types/work_request.h
+++ b/src/gateway/types/work_request.h
@@ -20,17 +20,17 @@
                          const GenerationSize&) = default;
 };
 
-// One caller's request. What the endpoint gets is `message`, unchanged but for
-// the headers that are this system's to set.
+// One caller's request. The endpoint receives `message`, unchanged except for
+// the headers that this system sets.
 struct WorkRequest {
   std::string id;  // the caller's name for this attempt
   std::string host;
-  http::Request message;  // without headers that belong to one connection
+  http::Request message;  // without the headers of a single connection
   std::optional<Duration> deadline;  // from the request's arrival
   std::optional<GenerationSize> size;
-  std::optional<std::uint64_t> resume_after;  // the last event that it has
-  std::optional<KeyDigest> key;               // of the customer, as shown
-  CustomerName customer;                      // that holds the key; may be none
+  std::optional<std::uint64_t> resume_after;  // the last event received
+  std::optional<KeyDigest> key;               // the customer's, as presented
+  CustomerName customer;                      // that owns the key; may be empty
 };
 
 }  // namespace acacialug::gateway
