--- a/src/gateway/call_placement.cc
+++ b/src/gateway/call_placement.cc
@@ -7,11 +7,13 @@
 namespace acacialug::gateway {
 namespace {
 
-constexpr double kSpread = 0.1;
-// A request that crosses domains takes longer and its bytes cost money; so much
-// of the slots more in use is worth that.
-constexpr double kOtherDomain = 0.17;
-// Each tenth of failures weighs like a third of the slots in use.
+// Max random addition to a load, as a share of the slots.
+constexpr double kLoadSpread = 0.1;
+// An endpoint in another failure domain is chosen only if its share of slots in
+// use is lower by more than this: a request that crosses domains takes longer,
+// and its traffic costs money.
+constexpr double kOtherDomainPenalty = 0.17;
+// A failure share of 0.1 weighs like 0.3 of the slots in use.
 constexpr double kFailureWeight = 3.0;
 
 double BusyShare(const EndpointLoad& load, const EndpointRecord& endpoint) {
@@ -46,13 +48,13 @@
     if (load.requests < endpoint->slots * (1 + kMaxWaitingPerSlot)) {
       candidates.Add(
           *endpoint, RankOf(*endpoint, need, this->health),
-          busy + random.Unit() * kSpread +
+          busy + random.Unit() * kLoadSpread +
               kFailureWeight * this->health.FailureShare(endpoint->id));
     }
   }
   return candidates
       .Choose(LoadStaleness::Measure(this->load_table, need.hold, need.now),
-              kOtherDomain, random)
+              kOtherDomainPenalty, random)
       .endpoint;
 }
 
--- a/src/gateway/call_placement.h
+++ b/src/gateway/call_placement.h
@@ -10,30 +10,30 @@
 
 namespace acacialug::gateway {
 
-// Chooses the endpoint of a plain request: one of the least busy that answer
-// well, of those alike one nearby.
+// Chooses the endpoint of a plain request: one of the least busy endpoints that
+// answer well, and among equal ones one in the same failure domain.
 //
-// Load pattern: short requests at a small share of the slots, with endpoints
-// that die, fail a part of their requests, or lose answers. What costs callers
-// most is a bad endpoint that is tried again and again, not a busy one.
+// Load pattern: short requests that use a small share of the slots, and
+// endpoints that die, fail a part of their requests, or lose answers. A bad
+// endpoint that is tried repeatedly costs callers more than a busy one.
 class CallPlacement {
  public:
-  // Requests at an endpoint beyond its slots, for each slot, at which a new
-  // one is refused: it would wait as long again as it may last.
+  // Number of requests for each slot, beyond those in the slots, at which an
+  // endpoint gets no new request: it would wait as long again as it may last.
   static constexpr std::uint32_t kMaxWaitingPerSlot = 3;
 
   struct Need {
     FailureDomain domain;           // of this process
-    std::vector<EndpointId> tried;  // only if there is no other
-    Duration hold{};                // for how long a request is at an endpoint
+    std::vector<EndpointId> tried;  // used only if there is no other
+    Duration hold{};                // expected time at an endpoint
     Instant now;
   };
 
   CallPlacement(const LoadTable& table, const EndpointHealth& health_seen)
       : load_table(table), health(health_seen) {}
 
-  // Null: none is known, or all are too busy. With tried ones only, the best
-  // of those.
+  // Returns null if no endpoint is known or all are too busy. If all have been
+  // tried, the result is the best of them.
   const EndpointRecord* Pick(
       const Need& need,
       const std::vector<const EndpointRecord*>& endpoints,
--- a/src/gateway/level_choice.cc
+++ b/src/gateway/level_choice.cc
@@ -5,13 +5,13 @@
 namespace acacialug::gateway {
 namespace {
 
-// The level that `unseen` fills the lowest of `loads` up to.
-double LevelOf(std::vector<double> loads, double unseen) {
+// The level to which `unseen` fills up the lowest of `loads`.
+double FillLevel(std::vector<double> loads, double unseen) {
   std::sort(loads.begin(), loads.end());
   double sum = 0;
   double level = loads.front();
   for (std::size_t filled = 0; filled < loads.size(); ++filled) {
-    // Those below this one are not filled up to it.
+    // The lower loads are not filled up to this one.
     if (level <= loads[filled] && filled > 0) {
       break;
     }
@@ -29,12 +29,12 @@
   if (loads.empty()) {
     return std::nullopt;
   }
-  const double level = LevelOf(loads, unseen);
+  const double level = FillLevel(loads, unseen);
   double left = random.Unit() * unseen;
-  for (std::size_t at = 0; at < loads.size(); ++at) {
-    left -= std::max(0.0, level - loads[at]);
+  for (std::size_t index = 0; index < loads.size(); ++index) {
+    left -= std::max(0.0, level - loads[index]);
     if (left < 0) {
-      return at;
+      return index;
     }
   }
   return static_cast<std::size_t>(std::min_element(loads.begin(), loads.end()) -
--- a/src/gateway/level_choice.h
+++ b/src/gateway/level_choice.h
@@ -9,22 +9,22 @@
 
 namespace acacialug::gateway {
 
-// Chooses among `loads` by news that are old, when `unseen` more has been
-// placed there by others since: each place is taken with a probability in
-// proportion to what it lacks to the level at which `unseen` would fill the
-// lowest ones up.
+// Chooses an index of `loads`, which are stale: other processes have placed
+// another `unseen` of load since. Filling up the lowest loads with `unseen`
+// gives a common level; the probability of an index is proportional to the
+// amount by which its load is below that level.
 //
-// Load pattern: many processes place at one pool and hear of each other's
-// placements late. By the least load alone all of them choose the same few
-// places until the next news, which are then the fullest, while those that look
-// a little fuller stay idle. With nothing unseen this is the least load, and
-// with news older than the work a choice at random.
+// Load pattern: many processes place work in one pool and receive reports of
+// each other's placements late. By the least load alone, all of them choose the
+// same few endpoints until the next reports. These are then the fullest, while
+// endpoints that look slightly fuller stay idle. With `unseen` at zero, the
+// choice is the least load; with loads older than the work, it is random.
 //
 // M. Dahlin, "Interpreting Stale Load Information", IEEE Transactions on
 // Parallel and Distributed Systems 11 (2000), "Basic LI".
 //
-// Loads and `unseen` have one unit. Empty when `loads` is. Precondition:
-// unseen >= 0. Thread safe, but for `random`.
+// `loads` and `unseen` have the same unit. Returns empty if `loads` is empty.
+// Precondition: unseen >= 0. Thread safe, except for `random`.
 std::optional<std::size_t> ChooseByLevel(const std::vector<double>& loads,
                                          double unseen,
                                          RandomSource& random);
--- a/src/gateway/load_table.cc
+++ b/src/gateway/load_table.cc
@@ -11,8 +11,8 @@
 }
 
 void LoadTable::NotifyChange() const {
-  if (this->own_change) {
-    this->own_change();
+  if (this->own_change_hook) {
+    this->own_change_hook();
   }
 }
 
@@ -20,7 +20,7 @@
   this->totals[key] += load;
 }
 
-void LoadTable::TakeFromTotal(std::uint64_t key, const EndpointLoad& load) {
+void LoadTable::SubtractFromTotal(std::uint64_t key, const EndpointLoad& load) {
   const auto total = this->totals.find(key);
   if (total == this->totals.end()) {
     return;
@@ -33,7 +33,7 @@
 
 void LoadTable::DropReported(const Reported& peer) {
   for (const auto& [key, load] : peer.loads) {
-    this->TakeFromTotal(key, load);
+    this->SubtractFromTotal(key, load);
   }
 }
 
@@ -47,7 +47,7 @@
   const std::uint64_t key = KeyOf(endpoint);
   if (started_at_ms > placed.started_at_ms) {
     if (!placed.load.empty()) {
-      this->TakeFromTotal(key, placed.load);
+      this->SubtractFromTotal(key, placed.load);
     }
     placed = {.started_at_ms = started_at_ms};
   }
@@ -66,7 +66,7 @@
   }
   found->second.load -= load;
   if (!load.empty()) {
-    this->TakeFromTotal(KeyOf(endpoint), load);
+    this->SubtractFromTotal(KeyOf(endpoint), load);
   }
   if (found->second.load.empty()) {
     this->own_loads.erase(found);
@@ -90,12 +90,12 @@
                         Instant now) {
   Reported& entry = this->reported[peer];
   this->DropReported(entry);
-  entry.at = now;
+  entry.received_at = now;
   entry.near = load.near;
   entry.loads.clear();
   for (const PeerLoad::Row& row : load.rows) {
-    // The first of two rows for one endpoint counts: totals must be the sum of
-    // what is kept.
+    // Of two rows for one endpoint the first counts: `totals` must be the sum
+    // of the stored loads.
     if (!row.load.empty() &&
         entry.loads.emplace(row.endpoint_key, row.load).second) {
       this->AddTotal(row.endpoint_key, row.load);
@@ -105,11 +105,11 @@
 
 void LoadTable::Sweep(Instant now) {
   std::erase_if(this->reported, [this, now](const auto& peer) {
-    const bool silent = peer.second.at + kPeerMemory < now;
-    if (silent) {
+    const bool expired = peer.second.received_at + kPeerMemory < now;
+    if (expired) {
       this->DropReported(peer.second);
     }
-    return silent;
+    return expired;
   });
 }
 
@@ -123,7 +123,7 @@
   std::int64_t count = 0;
   for (const auto& [peer, entry] : this->reported) {
     if (entry.near == (from == Nearness::kNear)) {
-      sum += now - entry.at;
+      sum += now - entry.received_at;
       ++count;
     }
   }
@@ -133,7 +133,7 @@
 Duration LoadTable::OldestReportAge(Instant now) const {
   Duration oldest{};
   for (const auto& [peer, entry] : this->reported) {
-    oldest = std::max(oldest, now - entry.at);
+    oldest = std::max(oldest, now - entry.received_at);
   }
   return oldest;
 }
--- a/src/gateway/load_table.h
+++ b/src/gateway/load_table.h
@@ -14,10 +14,10 @@
 
 namespace acacialug::gateway {
 
-// What is placed at each endpoint: by this process, exactly, and by its peers
-// as they last told. Endpoints' own reports are 0.9 s old and do not have the
-// work on its way to them; several entries that place by such reports all
-// choose the same endpoint. Not thread safe.
+// The load that is placed at each endpoint: exact for this process, and as last
+// reported for its peers. Endpoints' own reports are 0.9 s old and do not
+// include work in transit to them; several entries that place by such reports
+// all choose the same endpoint. Not thread safe.
 class LoadTable {
  public:
   enum class Nearness {
@@ -25,38 +25,39 @@
     kFar,
   };
 
-  // A peer that has been silent for this long may be gone with its work. Some
-  // ten lost datagrams, and under a stream's length.
+  // A peer that has sent no report for this long may have ended with its work.
+  // The time covers about ten lost datagrams, and is shorter than a stream.
   static constexpr Duration kPeerMemory = 1500ms;
 
-  // `on_own_change`, unless empty, runs at each change of this process's own.
+  // `on_own_change`, unless empty, runs at each change of this process's load.
   explicit LoadTable(std::function<void()> on_own_change = {})
-      : own_change(std::move(on_own_change)) {}
+      : own_change_hook(std::move(on_own_change)) {}
 
-  // `started_at_ms`: of the endpoint's start that the work was placed at.
+  // `started_at_ms`: start time of the incarnation that got the work.
   void Add(const EndpointId& endpoint,
            const EndpointLoad& load,
            std::int64_t started_at_ms = 0);
-  // Precondition: was added. No effect when that start is over: its load went
-  // with it, and what is in the book is the next one's.
+  // Precondition: `load` was added. There is no effect after that incarnation's
+  // end: its load was dropped with it, and the table has the load of the next.
   void Remove(const EndpointId& endpoint,
               const EndpointLoad& load,
               std::int64_t started_at_ms = 0);
-  // It started again under its id, and holds nothing of before.
+  // The endpoint restarted under its id and holds no earlier work.
   void Forget(const EndpointId& endpoint);
 
-  // Replaces what this peer told before.
+  // Replaces the earlier report of this peer.
   void SetPeer(const std::string& peer, const PeerLoad& load, Instant now);
   void Sweep(Instant now);
 
-  // All processes' work at an endpoint. Costs the same for any number of peers.
+  // All processes' work at an endpoint. The cost is independent of the number
+  // of peers.
   EndpointLoad TotalAt(const EndpointId& endpoint) const;
-  // How old what peers told is, in the mean; zero without such peers. What they
-  // placed and ended since is not in the book.
+  // Mean age of the peers' reports; zero without such peers. The work that they
+  // placed or ended since is not in the table.
   Duration ReportAge(Nearness from, Instant now) const;
-  // Of the peer that was not heard for longest; zero without peers.
+  // Age of the oldest of the peers' last reports; zero without peers.
   Duration OldestReportAge(Instant now) const;
-  // This process's only, for its peers.
+  // The load of this process alone, for its peers.
   PeerLoad Own() const;
   std::size_t peers() const { return this->reported.size(); }
 
@@ -65,7 +66,7 @@
  private:
   struct Reported {
     std::unordered_map<std::uint64_t, EndpointLoad> loads;
-    Instant at;
+    Instant received_at;
     bool near = false;
   };
 
@@ -76,14 +77,15 @@
 
   void NotifyChange() const;
   void AddTotal(std::uint64_t key, const EndpointLoad& load);
-  void TakeFromTotal(std::uint64_t key, const EndpointLoad& load);
+  void SubtractFromTotal(std::uint64_t key, const EndpointLoad& load);
   void DropReported(const Reported& peer);
 
-  const std::function<void()> own_change;
+  const std::function<void()> own_change_hook;
   std::map<EndpointId, Placed> own_loads;
   std::map<std::string, Reported> reported;
-  // Of `own_loads` and `reported` together. A placement looks at every
-  // endpoint; summed at each look, its cost would be endpoints times peers.
+  // Sums of `own_loads` and `reported`. A placement reads the load of every
+  // endpoint; with sums computed at each read, its cost would be the number of
+  // endpoints times that of peers.
   std::unordered_map<std::uint64_t, EndpointLoad> totals;
 };
 
--- a/src/gateway/stream_placement.cc
+++ b/src/gateway/stream_placement.cc
@@ -7,16 +7,19 @@
 namespace acacialug::gateway {
 namespace {
 
-// Loads that differ by less are alike: several processes that place at the
-// same time by the same news must not all choose the same endpoint.
-constexpr double kSpread = 0.06;
-// An endpoint that takes twice its time is as good as one 0.3 fuller.
+// Max random addition to a load; loads that differ by less count as equal.
+// Several processes that place at the same time by the same reports must not
+// all choose the same endpoint.
+constexpr double kLoadSpread = 0.06;
+// An endpoint that takes twice the expected time ranks like one whose fill is
+// higher by 0.3.
 constexpr double kSlownessWeight = 0.3;
 
-// A decode endpoint in another failure domain is as good as one so much fuller,
-// and a prefill endpoint there as one that begins so much later. Less is known
-// of them, since its neighbours are heard more often than others, and what is
-// moved between domains takes longer.
+// A decode endpoint in another failure domain ranks like one whose fill is
+// higher by this share, and a prefill endpoint there like one that starts later
+// by this time. Less is known of such endpoints, since reports arrive more
+// often from peers in the same domain, and transfers between domains take
+// longer.
 constexpr double kOtherDomainFill = 0.1;
 constexpr Duration kOtherDomainWait = 50ms;
 
@@ -32,12 +35,15 @@
     : options(placement_options), load_table(table), health(endpoint_health) {}
 
 std::uint64_t StreamPlacement::KvTokens(const GenerationSize& size,
-                                        std::uint64_t made) const {
+                                        std::uint64_t generated_tokens) const {
   const auto expected = static_cast<std::uint64_t>(
       this->options.output_share *
       static_cast<double>(size.expected_output_tokens));
   return size.prompt_tokens +
-         std::max(expected, made == 0 ? 0 : made + this->options.growth);
+         std::max(expected,
+                  generated_tokens == 0
+                      ? 0
+                      : generated_tokens + this->options.growth_tokens);
 }
 
 const EndpointRecord* StreamPlacement::PickDecode(
@@ -46,38 +52,39 @@
     const forecast::ServiceForecast& forecast,
     const std::vector<const EndpointRecord*>& endpoints,
     RandomSource& random) const {
-  const double room = (need.low_priority ? this->options.low_priority_fill
-                                         : this->options.fill) *
-                      static_cast<double>(engine.kv_tokens);
+  const double capacity = (need.low_priority ? this->options.low_priority_fill
+                                             : this->options.fill) *
+                          static_cast<double>(engine.kv_tokens);
   const auto wanted = static_cast<double>(this->KvTokens(need.size));
   Candidates candidates(need.domain);
-  bool sound = false;
+  bool any_healthy = false;
   for (const EndpointRecord* const endpoint : endpoints) {
     if (endpoint->role != EndpointRole::kDecode) {
       continue;
     }
     const EndpointLoad load = this->load_table.TotalAt(endpoint->id);
     const auto held = static_cast<double>(load.kv_tokens);
-    candidates.NotePlaced(*endpoint, held / room);
+    candidates.NotePlaced(*endpoint, held / capacity);
     if (this->health.Paused(endpoint->id, need.now)) {
       continue;
     }
     const bool avoided = this->health.Avoided(endpoint->id, need.now);
-    sound = sound || !avoided;
-    const bool fits = held + wanted <= room && load.requests < engine.slots;
+    any_healthy = any_healthy || !avoided;
+    const bool fits = held + wanted <= capacity && load.requests < engine.slots;
     if ((!fits && load.requests > 0) || WasTried(need.tried, endpoint->id) ||
         this->health.Full(endpoint->id, need.now)) {
       continue;
     }
-    const bool held_up =
+    const bool delayed_by_prefill =
         load.prefill_tokens > 0 && need.longest_pause > Duration::zero() &&
         forecast.PromptPause(load.prefill_tokens) > need.longest_pause;
-    const CandidateRank rank = avoided   ? CandidateRank::kAvoided
-                               : held_up ? CandidateRank::kPrefillBusy
-                                         : CandidateRank::kHealthy;
+    const CandidateRank rank = avoided ? CandidateRank::kAvoided
+                               : delayed_by_prefill
+                                   ? CandidateRank::kPrefillBusy
+                                   : CandidateRank::kHealthy;
     candidates.Add(
         *endpoint, rank,
-        held / room + random.Unit() * kSpread +
+        held / capacity + random.Unit() * kLoadSpread +
             kSlownessWeight * (this->health.Slowness(endpoint->id) - 1));
   }
   const Duration hold =
@@ -87,10 +94,11 @@
   const Candidates::Choice chosen = candidates.Choose(
       LoadStaleness::Measure(this->load_table, hold, need.now),
       kOtherDomainFill, random);
-  // A dead endpoint looks empty. While others live, one that is full is better
-  // waited for than this one asked.
-  return sound && chosen.rank == CandidateRank::kAvoided ? nullptr
-                                                         : chosen.endpoint;
+  // A dead endpoint looks empty. While others are healthy, waiting for a full
+  // one is better than sending a request to this one.
+  return any_healthy && chosen.rank == CandidateRank::kAvoided
+             ? nullptr
+             : chosen.endpoint;
 }
 
 Duration StreamPlacement::PrefillTime(const EndpointRecord& endpoint,
@@ -107,21 +115,23 @@
     const Need& need,
     const forecast::ServiceForecast& forecast) const {
   const double free = std::clamp(1 - decode_fill, 0.0, 1.0);
-  const double part = this->options.prefill_wait_share +
-                      free * (this->options.free_prefill_wait_share -
-                              this->options.prefill_wait_share);
-  const Duration share = FromSeconds(part * Seconds(need.objective));
-  // Who cannot be in time any more waits no less than others: its rank made it
-  // yield to them already.
+  const double wait_share = this->options.prefill_wait_share +
+                            free * (this->options.free_prefill_wait_share -
+                                    this->options.prefill_wait_share);
+  const Duration max_wait = FromSeconds(wait_share * Seconds(need.objective));
+  // A request that can no longer be in time may wait as long as others: it has
+  // already been served after them because of its rank.
   if (need.low_priority) {
-    return share;
+    return max_wait;
   }
-  return std::min(share, need.objective - need.waited - forecast.FirstEvent());
+  return std::min(max_wait,
+                  need.objective - need.waited - forecast.FirstEvent());
 }
 
-// A prompt is computed in pieces between the steps of the endpoint's other
-// streams. Where engines read slowly, that holds each of them up for longer
-// than its caller allows, and all of them are late for the sake of one.
+// A prompt is computed in chunks between the steps of the endpoint's other
+// streams. With engines that compute prompts slowly, this delays each of these
+// streams for longer than its caller allows, and one request makes all of them
+// late.
 bool StreamPlacement::MayPrefillLocally(
     const Placement& placement,
     const Need& need,
@@ -162,12 +172,12 @@
                        : CandidateRank::kHealthy,
                    Seconds(this->PrefillTime(*endpoint, forecast,
                                              need.size.prompt_tokens)) *
-                       (1 + random.Unit() * kSpread) *
+                       (1 + random.Unit() * kLoadSpread) *
                        (1 + 2 * this->health.FailureShare(endpoint->id)));
   }
-  const Duration one = forecast.PrefillTime(need.size.prompt_tokens);
+  const Duration hold = forecast.PrefillTime(need.size.prompt_tokens);
   return candidates
-      .Choose(LoadStaleness::Measure(this->load_table, one, need.now),
+      .Choose(LoadStaleness::Measure(this->load_table, hold, need.now),
               Seconds(kOtherDomainWait), random)
       .endpoint;
 }
@@ -206,7 +216,7 @@
   if (longer_than(1.0) && this->MayPrefillLocally(placement, need, forecast)) {
     return placement;
   }
-  // A prompt so long that it is late at an idle endpoint is late anywhere.
+  // A prompt that is late even at an idle endpoint is late at any of them.
   if (longer_than(placement.decode_fill) && placement.prefill_ahead > 0) {
     return std::nullopt;
   }
@@ -221,15 +231,15 @@
     const EngineTraits& engine,
     const std::vector<const EndpointRecord*>& endpoints) const {
   double held = 0;
-  double room = 0;
+  double capacity = 0;
   for (const EndpointRecord* const endpoint : endpoints) {
     if (endpoint->role == EndpointRole::kDecode) {
       held +=
           static_cast<double>(this->load_table.TotalAt(endpoint->id).kv_tokens);
-      room += static_cast<double>(engine.kv_tokens);
+      capacity += static_cast<double>(engine.kv_tokens);
     }
   }
-  return room > 0 ? held / room : 1.0;
+  return capacity > 0 ? held / capacity : 1.0;
 }
 
 }  // namespace acacialug::gateway
--- a/src/gateway/stream_placement.h
+++ b/src/gateway/stream_placement.h
@@ -14,56 +14,56 @@
 
 namespace acacialug::gateway {
 
-// Chooses where a generation is prefilled and decoded, both at once: a prompt
-// is computed only when there is room for what follows, since its result lives
-// for half a second.
+// Chooses the endpoints that prefill and decode a generation, both at the same
+// time: a prompt is computed only if there is decode capacity for it, since its
+// result is kept for 0.5 s.
 //
 // Load pattern: bursts to twice the mean for some seconds, in which decode
-// memory is what runs out. An endpoint that is given more than it holds
-// preempts a running stream and computes its prompt again, so that both are
-// late; one that is given less turns callers away for nothing.
+// memory runs out. An endpoint that gets more work than it has memory for
+// preempts a running stream and computes its prompt again, so that both streams
+// are late. With less work than memory, callers are refused without need.
 class StreamPlacement {
  public:
   struct Options {
-    // Share of a decode endpoint's memory that is given out. Streams that run
+    // Share of a decode endpoint's memory that is allocated. Streams that run
     // together are at different points of their output, so that the sum of
     // their final sizes is never reached.
     double fill = 1.0;
-    // Share of the expected output that is counted as taken: the mean over a
-    // stream's life is half of it, and estimates are off by half. More spares
-    // preempted streams, and leaves memory idle.
+    // Share of the expected output that is counted as allocated. The mean over
+    // a stream's duration is half of it, and estimates are off by half. A
+    // larger share avoids preempted streams, and leaves memory idle.
     double output_share = 0.6;
-    // Up to this share of an endpoint's memory is given to those who yield, the
-    // rest is kept for who can still be in time. Without it those who were
-    // refused in a burst come back after it and take the places of first tries,
-    // which come back in their turn: the pool stays overloaded for the length
-    // of the burst again.
+    // Max share of an endpoint's memory for requests of low priority; the rest
+    // is kept for requests that can still be in time. Otherwise the callers
+    // that were refused in a burst retry after it and take the capacity of
+    // first tries, which are then retried themselves: the pool stays overloaded
+    // for the length of another burst.
     double low_priority_fill = 0.85;
-    // Tokens that a stream makes until others have heard of it and placed by
-    // it.
-    std::uint64_t growth = 300;
-    // The longest time at a prefill endpoint that is worth it, as a share of
-    // the route's objective, where decode memory is short: it is held meanwhile
-    // and serves nobody.
+    // Tokens that a stream generates until peers have received a report of it
+    // and placed work by it.
+    std::uint64_t growth_tokens = 300;
+    // Max useful time at a prefill endpoint, as a share of the route's
+    // objective, while decode memory is short: the memory is held meanwhile and
+    // serves no request.
     double prefill_wait_share = 0.5;
-    // And where it is free: the rest is what expectations are off by. Load
-    // pattern: all callers come back within a third of a second after all
-    // processes had restarted, and prompts queue while three quarters of the
-    // decode memory are free.
+    // The same while decode memory is free; the rest covers the error of the
+    // expected times. Load pattern: all callers retry within a third of a
+    // second after a restart of all processes, and prompts are queued while
+    // three quarters of the decode memory are free.
     double free_prefill_wait_share = 0.8;
-    // Up to this share of its memory taken, a decode endpoint computes a prompt
-    // itself rather than have it wait longer: that slows its other streams,
-    // which an endpoint with few of them can afford.
+    // Max share of its memory in use at which a decode endpoint computes a
+    // prompt itself if the prompt would wait longer elsewhere. This slows its
+    // other streams, which is acceptable while there are few.
     double local_prefill_fill = 0.7;
   };
 
   struct Need {
     GenerationSize size;
-    Duration objective{};      // to the first event, from `waited` ago
-    Duration longest_pause{};  // between two events; zero: none is stated
+    Duration objective{};      // to the first event, started `waited` ago
+    Duration longest_pause{};  // between two events; zero: no limit is set
     Duration waited{};
-    std::vector<EndpointId> tried;  // not again
-    bool low_priority = false;      // takes only what others do not need
+    std::vector<EndpointId> tried;  // excluded
+    bool low_priority = false;      // limited to `low_priority_fill`
     FailureDomain domain;           // of this process
     Instant now;
   };
@@ -73,8 +73,8 @@
     std::optional<EndpointRecord> prefill;  // empty: decode computes the prompt
     EndpointLoad decode_load;
     EndpointLoad prefill_load;
-    Duration prefill_time{};          // expected, with what is queued there
-    std::uint64_t prefill_ahead = 0;  // tokens queued there before this one's
+    Duration prefill_time{};          // expected, including the queue
+    std::uint64_t prefill_ahead = 0;  // tokens in that queue
     double decode_fill = 0;           // of its memory, before this request
   };
 
@@ -82,7 +82,8 @@
                   const LoadTable& table,
                   const EndpointHealth& endpoint_health);
 
-  // Empty: no endpoint has room now. `endpoints`: of the service, taking work.
+  // Returns empty if no endpoint has capacity now. `endpoints`: those of the
+  // service that take work.
   std::optional<Placement> Pick(
       const Need& need,
       const EngineTraits& engine,
@@ -90,11 +91,12 @@
       const std::vector<const EndpointRecord*>& endpoints,
       RandomSource& random) const;
 
-  // Memory that a request is counted with, once it has made so many tokens.
+  // Memory that is counted for a request after it has generated
+  // `generated_tokens`.
   std::uint64_t KvTokens(const GenerationSize& size,
-                         std::uint64_t made = 0) const;
+                         std::uint64_t generated_tokens = 0) const;
 
-  // Share of the pool's decode memory that is given out, 0 to 1 and above.
+  // Share of the pool's decode memory that is allocated; it may exceed 1.
   double PoolFill(const EngineTraits& engine,
                   const std::vector<const EndpointRecord*>& endpoints) const;
 
@@ -105,7 +107,7 @@
       const forecast::ServiceForecast& forecast,
       const std::vector<const EndpointRecord*>& endpoints,
       RandomSource& random) const;
-  // `domain`: where its result goes.
+  // `domain`: the failure domain that the result is sent to.
   const EndpointRecord* PickPrefill(
       const Need& need,
       const FailureDomain& domain,
