--- a/src/gateway/endpoint_catalog.cc
+++ b/src/gateway/endpoint_catalog.cc
@@ -13,7 +13,8 @@
 }
 
 bool EndpointCatalog::Apply(const EndpointChange& change, Instant now) {
-  this->known_to = std::max(this->known_to, LogOffset(change.offset.value + 1));
+  this->known_up_to =
+      std::max(this->known_up_to, LogOffset(change.offset.value + 1));
   const auto deletion = this->deletions.find(change.id);
   if (deletion != this->deletions.end() &&
       deletion->second.offset >= change.offset) {
@@ -63,8 +64,7 @@
 bool EndpointCatalog::Remove(const EndpointId& id,
                              LogOffset offset,
                              Instant now) {
-  this->deletions[id] = {.offset = offset,
-                         .forgotten_at = now + kDeletionMemory};
+  this->deletions[id] = {.offset = offset, .expires_at = now + kDeletionMemory};
   if (this->entries.erase(id) == 0) {
     return false;
   }
@@ -73,9 +73,9 @@
 }
 
 bool EndpointCatalog::Apply(const EndpointSnapshot& snapshot, Instant now) {
-  // Nothing is to be learned from one that is behind, and much to be
-  // mislearned: what it has and is not known here is gone, also if this process
-  // never knew it and has no memory of its deletion.
+  // A snapshot that is behind this catalog has no new information, and using it
+  // would cause errors: an endpoint that it lists and the catalog doesn't has
+  // ended, even if this process never knew it and has no deletion of it.
   if (snapshot.as_of <= this->complete_to()) {
     return false;
   }
@@ -92,14 +92,15 @@
       missing.push_back(id);
     }
   }
-  // The snapshot does not tell which record deleted them, only that it is
-  // before its end: a later offset would hide the next record of theirs.
+  // The snapshot doesn't contain the offsets of the deletions, which are only
+  // known to be before `as_of`. A later offset here would hide the next record
+  // of such an endpoint.
   const LogOffset deleted_at(snapshot.as_of.value > 0 ? snapshot.as_of.value - 1
                                                       : 0);
   for (const EndpointId& id : missing) {
-    // Whoever tells a settled snapshot has waited for lapsed records itself.
-    // This process's own wait must not hold it up: one that flaps between
-    // losing the store and finding it would wait for ever.
+    // The sender of a settled snapshot has already waited for lapsed records.
+    // The grace of this process must not delay the removal: a process that
+    // repeatedly loses and regains the store would wait forever.
     changed = (snapshot.settled ? this->Remove(id, deleted_at, now)
                                 : this->Delete(id, deleted_at, now)) ||
               changed;
@@ -107,7 +108,7 @@
   if (this->settles_at == kNever) {
     this->settles_at = now + kLapseGrace;
   }
-  this->known_to = std::max(this->known_to, snapshot.as_of);
+  this->known_up_to = std::max(this->known_up_to, snapshot.as_of);
   return changed;
 }
 
@@ -134,13 +135,13 @@
     this->Remove(id, offset, now);
   }
   std::erase_if(this->deletions, [now](const auto& deletion) {
-    return deletion.second.forgotten_at <= now;
+    return deletion.second.expires_at <= now;
   });
   return !expired.empty();
 }
 
 LogOffset EndpointCatalog::complete_to() const {
-  LogOffset complete = this->known_to;
+  LogOffset complete = this->known_up_to;
   for (const auto& [id, entry] : this->entries) {
     complete = std::min(complete, entry.lapsed_at.value_or(complete));
   }
--- a/src/gateway/endpoint_catalog.h
+++ b/src/gateway/endpoint_catalog.h
@@ -13,51 +13,55 @@
 namespace acacialug::gateway {
 
 // The endpoints that have a record, from the store's log or from peers that
-// read it. News is taken by its offset in the log, so that what comes late or
-// from a peer that lags never brings back what is gone. Not thread safe.
+// read it. Updates are ordered by their offset in the log, so that a late
+// update, or one from a peer that lags, never restores a deleted endpoint. Not
+// thread safe.
 class EndpointCatalog {
  public:
-  // Records lapse while their store is out, since their endpoints cannot renew
-  // them; a deletion that is first seen within this time of the store's return
-  // is believed only at the end of it. Endpoints are back within two seconds;
-  // the half is for a reader that polls.
+  // Records lapse during an outage of the store, since endpoints can't renew
+  // them. A deletion that is first seen within this time after the store's
+  // recovery takes effect only at its end. Endpoints write their records again
+  // within 2 s; the other 0.5 s is for a reader that polls.
   static constexpr Duration kLapseGrace = 2500ms;
-  // A deletion is remembered for this long, so that a peer's older snapshot
-  // does not bring the endpoint back. Longer than a peer's news can lag.
+  // A deletion is kept for this long, so that a peer's older snapshot does not
+  // restore the endpoint. It is longer than a peer's updates can lag.
   static constexpr Duration kDeletionMemory = 60s;
 
   // `on_restart`, unless empty, runs with the new record of an endpoint that
-  // started again under its id.
+  // restarted under its id.
   explicit EndpointCatalog(
       std::function<void(const EndpointRecord& started)> on_restart = {})
       : restart_hook(std::move(on_restart)) {}
 
-  // True when the catalog changed.
+  // Both return whether the catalog changed.
   bool Apply(const EndpointChange& change, Instant now);
   bool Apply(const EndpointSnapshot& snapshot, Instant now);
 
-  // The store stopped, or began again, to serve this process.
+  // The store stopped serving this process, or serves it again.
   void NoteStoreLost();
   void NoteStoreBack(Instant now);
 
-  // Ends graces and memories that are over. True when the catalog changed.
-  // Call it now and then (each 100 ms).
+  // Ends expired graces and drops expired deletions. Returns whether the
+  // catalog changed. Call it every 100 ms.
   bool Sweep(Instant now);
 
-  // Endpoints of a service that take new work; good until the next change.
+  // Endpoints of a service that take new work. The pointers are valid until the
+  // next change.
   std::vector<const EndpointRecord*> ForService(
       const ServiceName& service) const;
-  // Null: not known, or gone.
+  // Returns null for an endpoint that is unknown or has ended.
   const EndpointRecord* Find(const EndpointId& id) const;
-  // The same by LoadTable::KeyOf its id; looks at all of them.
+  // The same by LoadTable::KeyOf of its id. The cost is linear in the number of
+  // endpoints.
   const EndpointRecord* FindByKey(std::uint64_t key) const;
 
-  // For peers: all that is known, with the offset that it is complete to.
+  // All known records, for peers, with the offset up to which they are
+  // complete.
   EndpointSnapshot Snapshot(Instant now) const;
-  // Changes before it are known and believed.
+  // All changes before this offset are known and in effect.
   LogOffset complete_to() const;
-  // Behind the last record that changed anything: endpoints write each second
-  // to show that they live.
+  // The offset after the last record that changed the catalog. Most records
+  // change nothing, since endpoints renew theirs every second.
   LogOffset changed_to() const { return this->last_change; }
   std::size_t size() const { return this->entries.size(); }
 
@@ -65,14 +69,14 @@
   struct Entry {
     EndpointRecord record;
     LogOffset offset;
-    // Of its deletion, which is not believed yet.
+    // The offset of a deletion that has not taken effect yet.
     std::optional<LogOffset> lapsed_at = {};
 
     LogOffset newest() const { return this->lapsed_at.value_or(this->offset); }
   };
   struct Deletion {
     LogOffset offset;
-    Instant forgotten_at;
+    Instant expires_at;
   };
 
   bool Delete(const EndpointId& id, LogOffset offset, Instant now);
@@ -83,7 +87,7 @@
   const std::function<void(const EndpointRecord& started)> restart_hook;
   std::map<EndpointId, Entry> entries;
   std::map<EndpointId, Deletion> deletions;
-  LogOffset known_to;
+  LogOffset known_up_to;
   LogOffset last_change;
   bool store_lost = false;
   Instant grace_until{};
--- a/src/gateway/endpoint_health.cc
+++ b/src/gateway/endpoint_health.cc
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr std::uint32_t kMaxDoublings = 8;
-// One slow answer must not read as a slow endpoint for long, nor a quick one
-// as a miracle.
+// Bounds of a speed ratio. A single slow answer must not mark an endpoint as
+// slow for long, and a single quick one must not mark it as very fast.
 constexpr double kMinRatio = 0.25;
-constexpr double kGreatestRatio = 8.0;
+constexpr double kMaxRatio = 8.0;
 
-// A pause that doubles with each time in a row before this one.
+// A pause that doubles with each of the `times` consecutive earlier pauses.
 Duration PauseAfter(Duration first, std::uint32_t times) {
   const std::uint32_t doublings = std::min(times, kMaxDoublings);
   return std::min(EndpointHealth::kMaxPause,
@@ -165,7 +165,7 @@
 
 void EndpointHealth::NoteSpeed(const EndpointId& endpoint, double ratio) {
   State& state = this->states[endpoint];
-  const double bounded = std::clamp(ratio, kMinRatio, kGreatestRatio);
+  const double bounded = std::clamp(ratio, kMinRatio, kMaxRatio);
   state.slowness += (bounded - state.slowness) * kSpeedWeight;
 }
 
--- a/src/gateway/endpoint_health.h
+++ b/src/gateway/endpoint_health.h
@@ -11,99 +11,106 @@
 
 namespace acacialug::gateway {
 
-// What this process has seen of each endpoint's work. An endpoint that cannot
-// be reached, or stays silent, is avoided at once: unlike a pool of agents,
-// which say themselves that they are ill, nothing else tells of a dead host for
-// some seconds. It is tried again after a pause that doubles. One that answers
-// with failures, or loses some answers, is avoided by degrees. Avoided
-// endpoints are still used when there is no other. Not thread safe.
+// The health of each endpoint as this process has observed it. An endpoint that
+// is unreachable or does not respond is avoided at once: unlike in a pool of
+// agents, which report their own health, there is no other sign of a dead host
+// for some seconds. It is tried again after a pause that doubles each time. An
+// endpoint that answers with failures, or loses some answers, is avoided by
+// degrees. Avoided endpoints are still used when there is no other. Not thread
+// safe.
 class EndpointHealth {
  public:
-  // A host that restarts is back in about a second; a dead one loses its
-  // record in three heartbeats, under 4 s.
+  // A host that restarts is available again in about 1 s. A dead host loses its
+  // record after three heartbeats, which is less than 4 s.
   static constexpr Duration kFirstPause = 500ms;
   static constexpr Duration kMaxPause = 4s;
-  // A peer's word on an endpoint that cannot be reached counts for this long,
-  // and is repeated while it holds; and not against an answer that is newer
-  // than this: some two heartbeats of a peer.
+  // A peer's report that an endpoint is unreachable counts for this long, and
+  // is repeated while it holds.
   static constexpr Duration kReportedPause = 500ms;
+  // Such a report doesn't count against an answer that is newer than this,
+  // which is about two heartbeats of a peer.
   static constexpr Duration kRecentAnswer = 250ms;
-  // Refusals in a row, while far from full, of which peers are told.
+  // Consecutive refusals, while far from full, that are reported to peers.
   static constexpr std::uint32_t kConfirmedRefusals = 2;
-  // Refusals of work that was promised room, after which it is avoided.
+  // Refusals of work with a reservation, after which the endpoint is avoided.
   static constexpr std::uint32_t kMaxBrokenReservations = 2;
   static constexpr Duration kMemory = 60s;
-  // A full endpoint ends some request about this often, and peers' loads are
-  // heard again within it.
+  // A full endpoint ends a request about this often, and peers report their
+  // loads again within this time.
   static constexpr Duration kFullPause = 150ms;
-  // A share of failures above this is avoided like silence. Sound services
-  // answer a part of their requests with failures of their own.
+  // An endpoint with a failure share above this is avoided like one that does
+  // not respond. Healthy services answer a part of their requests with failures
+  // of their own.
   static constexpr double kMaxFailureShare = 0.35;
-  // Weight of the newest outcome: some ten outcomes decide.
+  // Weight of the newest outcome. About ten outcomes determine the share.
   static constexpr double kOutcomeWeight = 0.12;
-  // Weight of the newest speed.
+  // Weight of the newest speed ratio.
   static constexpr double kSpeedWeight = 0.2;
 
   void NoteSuccess(const EndpointId& endpoint, Instant now);
-  // It answered, whatever it said: it can be reached.
+  // The endpoint is reachable: it answered, with success or not.
   void NoteAnswer(const EndpointId& endpoint, Instant now);
-  // It answered, and with a failure.
+  // The endpoint answered with a failure.
   void NoteFailure(const EndpointId& endpoint, Instant now);
-  // No connection, a broken one, or no answer in time.
+  // There was no connection, a broken one, or no answer in time.
   void NoteTimeout(const EndpointId& endpoint, Instant now);
-  // A silence before anything could be sent: peers are told of it.
+  // As NoteTimeout, before anything could be sent. It is reported to peers.
   void NoteUnreachable(const EndpointId& endpoint, Instant now);
-  // An exchange broke; `sent`: after something of it may have arrived.
+  // An exchange broke. `sent`: a part of it may have reached the endpoint.
   void NoteLost(const EndpointId& endpoint, bool sent, Instant now);
-  // A peer could not reach it, and thinks so until then. Believed unless the
-  // endpoint has just answered here: the peer may be the one that is cut off.
-  // True: nobody had told so of late.
+  // A peer could not reach the endpoint, and avoids it for another `left`. The
+  // report counts unless the endpoint has just answered this process: the peer
+  // itself may be cut off. Returns whether no such report was in effect.
   bool NoteReportedUnreachable(std::uint64_t endpoint_key,
                                Duration left,
                                Instant now);
-  // It refused for want of room that it was thought to have; and it has room
-  // again, since it took work or something there has ended.
+  // The endpoint refused work because it lacks capacity that it was expected to
+  // have.
   void NoteFull(const EndpointId& endpoint, Instant now);
+  // The endpoint has capacity again: it accepted work, or some work there has
+  // ended.
   void NoteCapacity(const EndpointId& endpoint);
-  // It refused while it was thought to be far from full: it leaves, or does not
-  // work. Paused longer each time. One refusal, and those until all peers have
-  // told what they had placed there by then, may have their placements as a
-  // cause: if each process doubted it then and told the others, a sound
-  // endpoint that is just full would be left alone by all. `oldest_report_age`:
-  // since when every peer has told.
+  // The endpoint refused work while it was expected to be far from full: it is
+  // leaving, or does not work. The pause grows each time. The placements of
+  // peers may be the cause of a first refusal, and of those that follow before
+  // all peers have reported what they had placed there by then. If each process
+  // suspected the endpoint at that point and reported it, all of them would
+  // avoid a healthy endpoint that is only full. `oldest_report_age`: the time
+  // within which every peer has reported.
   void NoteUnexpectedRefusal(const EndpointId& endpoint,
                              Duration oldest_report_age,
                              Instant now);
-  // It refused work for which it had set memory aside, in a row since it last
-  // began any: it changes its role, or is about to end. Avoided like one that
-  // is silent, from the second on; the first may be a computed prompt that
-  // lapsed.
+  // The endpoint refused work for which it had reserved memory: it is changing
+  // its role, or is about to end. From the second refusal since it last started
+  // work, it is avoided like one that does not respond; the cause of the first
+  // may be a computed prompt that expired.
   void NoteBrokenReservation(const EndpointId& endpoint, Instant now);
-  // It began work.
+  // The endpoint started work.
   void NoteStarted(const EndpointId& endpoint);
-  // It changes its role, and takes no work until then. By the hash of its id,
-  // as peers tell it (LoadTable::KeyOf).
+  // The endpoint is changing its role, and takes no work before `until`.
+  // `endpoint_key`: the hash of its id that peers report (LoadTable::KeyOf).
   void NotePause(std::uint64_t endpoint_key, Instant until);
-  // A piece of work took `ratio` times what was expected. Precondition: > 0.
+  // A piece of work took `ratio` times the expected time. Precondition:
+  // ratio > 0.
   void NoteSpeed(const EndpointId& endpoint, double ratio);
 
   bool Avoided(const EndpointId& endpoint, Instant now) const;
-  // Those that this process could not reach itself, for its peers.
+  // The endpoints that this process itself could not reach, for its peers.
   std::vector<EndpointPause> Unreachable(Instant now) const;
-  // Refused for want of room a moment ago.
+  // Whether the endpoint recently refused work for lack of capacity.
   bool Full(const EndpointId& endpoint, Instant now) const;
-  // Not to be used, also if there is no other.
+  // Whether the endpoint must not be used even if there is no other.
   bool Paused(const EndpointId& endpoint, Instant now) const;
-  // 0 (none seen) to 1.
+  // From 0 to 1; 0 if there were no failures.
   double FailureShare(const EndpointId& endpoint) const;
-  // How many times longer than expected its work takes, lately; 1 if unknown.
+  // The recent ratio of its work's time to the expected time; 1 if unknown.
   double Slowness(const EndpointId& endpoint) const;
 
-  // It started again under its id: nothing seen before counts.
+  // The endpoint restarted under its id: earlier observations don't count.
   void Forget(const EndpointId& endpoint);
 
-  // Forgets endpoints that nothing was seen of for a minute: each start of an
-  // endpoint has a new id.
+  // Drops endpoints without an observation within kMemory: each incarnation of
+  // an endpoint has a new id.
   void Sweep(Instant now);
 
  private:
@@ -113,10 +120,10 @@
     Instant unreachable_until{};
     double failure_share = 0;
     double slowness = 1;
-    std::uint32_t timeouts = 0;             // in a row
-    std::uint32_t refusals = 0;             // in a row, while far from full
-    Instant refused_at{};                   // the last of those that counts
-    std::uint32_t broken_reservations = 0;  // since it last began work
+    std::uint32_t timeouts = 0;             // consecutive
+    std::uint32_t refusals = 0;             // consecutive, while far from full
+    Instant refused_at{};                   // the last one in `refusals`
+    std::uint32_t broken_reservations = 0;  // since it last started work
     Instant avoided_until{};
     Instant full_until{};
   };
@@ -124,8 +131,8 @@
   State& Touch(const EndpointId& endpoint, Instant now);
 
   std::map<EndpointId, State> states;
-  std::map<std::uint64_t, Instant> pauses;                // until
-  std::map<std::uint64_t, Instant> reported_unreachable;  // until
+  std::map<std::uint64_t, Instant> pauses;                // end times
+  std::map<std::uint64_t, Instant> reported_unreachable;  // end times
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/leader_term.cc
+++ b/src/gateway/leader_term.cc
@@ -23,8 +23,8 @@
 
 std::optional<std::uint64_t> LeaderTerm::OnGrant(std::optional<TermGrant> grant,
                                                  Instant now) {
-  // An answer that took long is no turn any more: this process, or the store's
-  // answer, stood still meanwhile.
+  // A late grant is not used: this process or the store's answer was stalled
+  // meanwhile.
   if (!grant || now > this->acquiring_since + this->options.interval) {
     this->holds = false;
     return std::nullopt;
--- a/src/gateway/leader_term.h
+++ b/src/gateway/leader_term.h
@@ -8,40 +8,43 @@
 
 namespace acacialug::gateway {
 
-// A turn that the store granted: one process at a time holds the newest.
+// A leader term that the store granted. One process at a time holds the newest.
 struct TermGrant {
-  std::uint64_t fencing_token = 0;  // rises with each grant, over restarts too
-  bool after_another = false;       // the turn before was another process's
+  std::uint64_t fencing_token = 0;  // rises with each grant, across restarts
+  bool after_another = false;       // the last term was another process's
 };
 
-// When this process may give orders to endpoints. Two processes that order the
-// same endpoint would undo each other's orders, and endpoints here do not check
-// fencing numbers. So only the first of those alive claims, each batch of
-// orders needs a new claim that the store grants only to who knows the newest,
-// and one who takes over waits until an order of the holder before, sent just
-// before it lost the turn, has arrived. Not thread safe.
+// Decides when this process may send orders to endpoints. Two processes that
+// send orders to the same endpoint would undo each other's orders, and
+// endpoints here do not check fencing tokens. So only the first of the live
+// processes requests a term. Each batch of orders needs a new term, which the
+// store grants only to a process that knows the newest term. A process that
+// takes over waits until an order that the last holder sent just before it lost
+// its term has arrived. Not thread safe.
 class LeaderTerm {
  public:
   struct Options {
-    // A process must be the first for so long before it claims: a peer that
-    // missed some datagrams is still the holder.
+    // Time for which a process must be the first before it requests a term: a
+    // peer whose datagrams were lost may still be the holder.
     Duration first_for = 3s;
-    // After another holder: its lease, and what an order may be on its way.
+    // Wait after another holder's term: its lease, and the time that an order
+    // may be in transit.
     Duration pause = 4s;
-    // Between two claims.
+    // Time between two requests for a term.
     Duration interval = 2s;
   };
 
   explicit LeaderTerm(Options term_options) : options(term_options) {}
 
-  // Whether this process is the first of those that it hears, itself included.
+  // Sets whether this process is the first of the live processes that it knows,
+  // itself included.
   void SetFirst(bool first, Instant now);
 
-  // Whether to ask the store for a turn now.
+  // Whether to request a term from the store now.
   bool MayAcquire(Instant now) const;
   void NoteAcquiring(Instant now);
-  // The store's answer; empty: not granted. Returns the fence to order with
-  // now; empty: not yet.
+  // Takes the store's answer; an empty `grant` means that it refused. Returns
+  // the fencing token for orders, or empty if none may be sent yet.
   std::optional<std::uint64_t> OnGrant(std::optional<TermGrant> grant,
                                        Instant now);
 
--- a/src/gateway/peer_rounds.cc
+++ b/src/gateway/peer_rounds.cc
@@ -5,11 +5,11 @@
 namespace acacialug::gateway {
 namespace {
 
-// Between two heartbeats to a peer, for up to kFewPeers of them.
+// Time between two heartbeats to a peer, for up to kFewPeers peers.
 constexpr Duration kMinInterval = 20ms;
 constexpr std::size_t kFewPeers = 5;
 constexpr Duration kMinHeartbeatTimeout = 800ms;  // two keep-alives
-// Up to so many all are told alike.
+// Up to this number, all peers get heartbeats at the same interval.
 constexpr std::size_t kManyPeers = 25;
 
 }  // namespace
--- a/src/gateway/peer_rounds.h
+++ b/src/gateway/peer_rounds.h
@@ -7,19 +7,21 @@
 
 namespace acacialug::gateway {
 
-// The time between two heartbeats to the same peer, one of `group` that are
-// told together; `peers` are all of them, the group's included.
+// The time between two heartbeats to the same peer, in a group of `group` peers
+// that are sent to in one round; `peers` is the number of all peers, the group
+// included.
 //
-// What a process sends a second is bounded, whatever their number. As long as
-// that lets all hear of a placement soon, all are told alike. With more of them
-// half of it goes to those of the process's own failure domain: these place at
-// the same endpoints first, and in a round of all of them each would decide by
-// news that are older than most of the work. Thread safe. Precondition:
-// group <= peers.
+// The number of heartbeats that a process sends each second is bounded,
+// whatever the number of peers. As long as all peers can receive a placement
+// soon within that bound, they get heartbeats at the same interval. With more
+// peers, half of the heartbeats goes to those in the process's own failure
+// domain: they choose the same endpoints first, and in a round of all peers
+// each would decide by reports that are older than most of the work. Thread
+// safe. Precondition: group <= peers.
 Duration RoundInterval(std::size_t peers, std::size_t group);
 
-// After which one of so many peers that tells nothing is taken for silent: some
-// of its heartbeats may be lost. Thread safe.
+// The time without heartbeats after which a peer is treated as unresponsive,
+// with `peers` peers in total. It allows for some lost heartbeats. Thread safe.
 Duration HeartbeatTimeout(std::size_t peers);
 
 }  // namespace acacialug::gateway
--- a/src/gateway/role_planner.cc
+++ b/src/gateway/role_planner.cc
@@ -6,21 +6,21 @@
 namespace acacialug::gateway {
 namespace {
 
-// Requests that the means stand for, once there are many.
-constexpr std::uint32_t kMaxCounted = 50;
-// The same of the newest look at what is in use; they are half a second apart.
+// Max number of requests that the means are weighted as.
+constexpr std::uint32_t kMaxCountedRequests = 50;
+// Weight of the newest sample of the prefill use. Samples are 0.5 s apart.
 constexpr double kNewestWeight = 0.25;
-// Below this number of endpoints one prefill endpoint must do; above, the loss
-// of one must leave another.
-constexpr std::size_t kSpareFrom = 6;
+// From this number of endpoints on, the loss of a prefill endpoint must leave
+// another. With fewer endpoints, one prefill endpoint must suffice.
+constexpr std::size_t kMinEndpointsForSecondPrefill = 6;
 
-// Up to this part of their capacity is left to endpoints that stay.
-constexpr double kWellUsed = 0.7;
+// Max utilization to which the endpoints that keep their role may be loaded.
+constexpr double kMaxRemainingUse = 0.7;
 
-// How much of an endpoint is in use, 0 to 1.
-double Used(const EndpointRecord& endpoint,
-            const EngineTraits& engine,
-            const LoadTable& load_table) {
+// The share of an endpoint that is in use, from 0 to 1.
+double Utilization(const EndpointRecord& endpoint,
+                   const EngineTraits& engine,
+                   const LoadTable& load_table) {
   const EndpointLoad load = load_table.TotalAt(endpoint.id);
   if (endpoint.role == EndpointRole::kPrefill) {
     return load.prefill_tokens > 0 ? 1 : 0;
@@ -32,19 +32,20 @@
           std::max<std::uint32_t>(engine.slots, 1));
 }
 
-// Endpoints that the others of the same role can do without now.
-std::size_t Spare(const std::vector<const EndpointRecord*>& endpoints,
-                  const EngineTraits& engine,
-                  const LoadTable& load_table) {
+// Number of endpoints that the others of the same role don't need now.
+std::size_t CountSpare(const std::vector<const EndpointRecord*>& endpoints,
+                       const EngineTraits& engine,
+                       const LoadTable& load_table) {
   double used = 0;
   for (const EndpointRecord* const endpoint : endpoints) {
-    used += Used(*endpoint, engine, load_table);
+    used += Utilization(*endpoint, engine, load_table);
   }
-  const auto needed = static_cast<std::size_t>(std::ceil(used / kWellUsed));
+  const auto needed =
+      static_cast<std::size_t>(std::ceil(used / kMaxRemainingUse));
   return endpoints.size() - std::min(endpoints.size(), needed);
 }
 
-// The part of the prefill endpoints that is in use.
+// The share of the prefill endpoints that is in use.
 double PrefillUse(const std::vector<const EndpointRecord*>& endpoints,
                   const EngineTraits& engine,
                   const LoadTable& load_table) {
@@ -52,7 +53,7 @@
   double all = 0;
   for (const EndpointRecord* const endpoint : endpoints) {
     if (endpoint->role == EndpointRole::kPrefill) {
-      used += Used(*endpoint, engine, load_table);
+      used += Utilization(*endpoint, engine, load_table);
       all += 1;
     }
   }
@@ -66,12 +67,14 @@
 }  // namespace
 
 void RolePlanner::NoteRequest(const GenerationSize& size) {
-  this->own.requests = std::min(this->own.requests + 1, kMaxCounted);
-  const double weight = 1.0 / this->own.requests;
-  this->own.prompt_tokens = Blend(
-      this->own.prompt_tokens, static_cast<double>(size.prompt_tokens), weight);
-  this->own.output_tokens =
-      Blend(this->own.output_tokens,
+  this->own_requests.requests =
+      std::min(this->own_requests.requests + 1, kMaxCountedRequests);
+  const double weight = 1.0 / this->own_requests.requests;
+  this->own_requests.prompt_tokens =
+      Blend(this->own_requests.prompt_tokens,
+            static_cast<double>(size.prompt_tokens), weight);
+  this->own_requests.output_tokens =
+      Blend(this->own_requests.output_tokens,
             static_cast<double>(size.expected_output_tokens), weight);
 }
 
@@ -82,7 +85,7 @@
 }
 
 forecast::RequestSizes RolePlanner::Sizes() const {
-  forecast::RequestSizes all = this->own;
+  forecast::RequestSizes all = this->own_requests;
   for (const auto& [peer, reported] : this->peers) {
     const forecast::RequestSizes& more = reported.sizes;
     all.requests += more.requests;
@@ -104,7 +107,7 @@
   const auto prompt = static_cast<std::uint64_t>(sizes.prompt_tokens);
   const double prefill_ms =
       1000.0 * Seconds(forecast.MarginalPrefillTime(prompt)) * headroom;
-  // A place is held from the reservation on, while its prompt is computed.
+  // A slot is held from the reservation on, while its prompt is computed.
   const double held_ms =
       1000.0 * Seconds(forecast.PrefillTime(prompt) + forecast.FirstEvent()) +
       sizes.output_tokens * forecast.TokenMs();
@@ -121,28 +124,31 @@
     const forecast::ServiceForecast& forecast,
     std::size_t endpoints) const {
   const auto count = static_cast<double>(endpoints);
-  const std::size_t fewest = endpoints >= kSpareFrom ? 2 : 1;
-  const double most =
+  const std::size_t min_prefill =
+      endpoints >= kMinEndpointsForSecondPrefill ? 2 : 1;
+  const double max_share =
       this->PrefillShare(engine, forecast, this->options.prefill_headroom);
-  const double least =
+  const double min_share =
       this->PrefillShare(engine, forecast, this->options.min_headroom);
-  return {.share = most,
-          .min = std::max(fewest,
-                          static_cast<std::size_t>(std::floor(least * count))),
-          .max = std::max(fewest,
-                          static_cast<std::size_t>(std::ceil(most * count)))};
+  return {
+      .share = max_share,
+      .min = std::max(min_prefill,
+                      static_cast<std::size_t>(std::floor(min_share * count))),
+      .max = std::max(min_prefill,
+                      static_cast<std::size_t>(std::ceil(max_share * count)))};
 }
 
-std::size_t RolePlanner::AtOnce(const std::vector<const EndpointRecord*>& from,
-                                std::size_t endpoints,
-                                const EngineTraits& engine,
-                                const LoadTable& load_table) const {
-  const auto share = static_cast<std::size_t>(this->options.share_at_once *
-                                              static_cast<double>(endpoints));
+std::size_t RolePlanner::MaxSwitchesAtOnce(
+    const std::vector<const EndpointRecord*>& from,
+    std::size_t endpoints,
+    const EngineTraits& engine,
+    const LoadTable& load_table) const {
+  const auto share = static_cast<std::size_t>(
+      this->options.max_switching_share * static_cast<double>(endpoints));
   const std::size_t spare =
       this->Sizes().requests < this->options.min_requests_for_spare
           ? 0
-          : Spare(from, engine, load_table);
+          : CountSpare(from, engine, load_table);
   return std::max<std::size_t>({1, share, spare});
 }
 
@@ -174,8 +180,8 @@
   const std::size_t difference =
       too_many ? prefill.size() - bounds.max : bounds.max - prefill.size();
   const std::size_t at_once =
-      this->AtOnce(from, endpoints.size(), engine, load_table);
-  // The least busy ones: what runs there goes on to its end first.
+      this->MaxSwitchesAtOnce(from, endpoints.size(), engine, load_table);
+  // The least busy endpoints switch: their running work ends first.
   std::sort(
       from.begin(), from.end(),
       [&load_table](const EndpointRecord* left, const EndpointRecord* right) {
--- a/src/gateway/role_planner.h
+++ b/src/gateway/role_planner.h
@@ -20,63 +20,67 @@
 struct RoleChange {
   EndpointRecord endpoint;
   EndpointRole role = EndpointRole::kDecode;
-  double share = 0;  // of the endpoints that should prefill
+  double share = 0;  // target share of prefill endpoints
 };
 
-// Decides how many endpoints of a service prefill and how many decode, from
-// the shape of its requests.
+// Decides how many endpoints of a service prefill and how many decode, from the
+// sizes of its requests.
 //
-// Load pattern: bursts to twice the mean, of requests whose prompts are read in
-// a tenth of a second and whose answers hold memory for some seconds. Of what
-// is offered, decode memory runs out first; prefill endpoints beyond those that
-// a burst needs stand idle. The shares follow from two times that one request
-// takes of one endpoint: computing its prompt, and its share of the memory for
-// as long as it is held. A switch takes an endpoint out for some seconds, so
-// that nothing is switched for a change that is within the rounding, and none
-// is taken from the answers while the prefill endpoints are not kept busy: the
-// first requests may be unlike the rest. Not thread safe.
+// Load pattern: bursts to twice the mean, of requests whose prompts are
+// computed in 0.1 s and whose answers hold memory for some seconds. Decode
+// memory runs out first; prefill endpoints beyond those that a burst needs are
+// idle. The shares follow from two times for which a request uses an endpoint:
+// the time to compute its prompt, and the time for which it holds its share of
+// the memory. A switch takes an endpoint out of service for some seconds. So
+// there is no switch for a change within the rounding, and none from decode to
+// prefill while the prefill endpoints are not busy: the first requests may
+// differ from the rest. Not thread safe.
 class RolePlanner {
  public:
   struct Options {
-    // Prefill endpoints above the pure share are too many, with the number
-    // rounded up: each of them holds no answers.
+    // Factor on the prefill time for the max number of prefill endpoints, which
+    // is rounded up. There is no extra, since a prefill endpoint holds no
+    // answers.
     double prefill_headroom = 1.0;
-    // With less than this of it the prefill endpoints hold the answers up.
+    // The same for the min number, which is rounded down. With fewer, the
+    // prefill endpoints delay the answers.
     double min_headroom = 0.75;
-    // Requests whose sizes are known, here or from peers, before anything is
-    // decided.
+    // Min number of requests with known sizes, from this process or its peers,
+    // before any switch.
     std::uint32_t min_requests = 12;
-    // What a peer told counts for so long.
+    // Time for which a peer's report counts.
     Duration peer_memory = 10s;
-    // Share of the endpoints that are switched at the same time, at most; one
-    // in any case, and more where those that stay can do the work of the moment
-    // without them: one after the other takes several bursts' time.
-    double share_at_once = 0.15;
-    // Requests that must be known for that. Sizes differ by a half and answers
-    // by more; by the first few a third of the endpoints would be switched, and
-    // back again.
+    // Max share of the endpoints that switch at the same time. One endpoint may
+    // always switch, and more may if the others can do the current work without
+    // them: switching one after the other takes as long as several bursts.
+    double max_switching_share = 0.15;
+    // Min number of known requests for switching more. Sizes of requests differ
+    // by a half and those of answers by more; the first few would switch a
+    // third of the endpoints, and later ones would switch them back.
     std::uint32_t min_requests_for_spare = 30;
-    // Part of the prefill endpoints that must have been in use, over the last
-    // seconds, before more are made.
+    // Share of the prefill endpoints that must have been in use, over the last
+    // seconds, before others switch to prefill.
     double min_prefill_use = 0.6;
-    // Beyond the engine's own time for a switch, until its record must show it:
-    // what runs there ends first, and the record is read each half second.
+    // Time beyond the engine's own time for a switch until the endpoint's
+    // record must show the new role: running work ends first, and the record is
+    // read every 0.5 s.
     Duration record_delay = 1500ms;
   };
 
   explicit RolePlanner(Options planner_options) : options(planner_options) {}
 
-  // A request came.
+  // A request arrived.
   void NoteRequest(const GenerationSize& size);
-  // Requests that came to a peer; a later word replaces the earlier one.
+  // Sizes of the requests that arrived at a peer. A later report replaces the
+  // earlier one.
   void NotePeer(const std::string& peer,
                 const forecast::RequestSizes& sizes,
                 Instant now);
 
-  // Of the requests that came here.
-  const forecast::RequestSizes& own_sizes() const { return this->own; }
+  // Sizes of the requests that arrived at this process.
+  const forecast::RequestSizes& own_sizes() const { return this->own_requests; }
 
-  // The switches to order now; none while earlier ones are under way.
+  // The switches to order now; none while earlier ones are in progress.
   std::vector<RoleChange> Plan(
       const EngineTraits& engine,
       const forecast::ServiceForecast& forecast,
@@ -89,30 +93,32 @@
                    const EngineTraits& engine,
                    Instant now);
 
-  // Follows the switches under way; call it now and then (each 500 ms). One is
-  // over when the endpoint's record shows the new role. The engine's own time
-  // for it begins when what runs there has ended: until then it is not counted.
+  // Updates the switches in progress; call it every 500 ms. A switch has ended
+  // when the endpoint's record shows the new role. The engine's own time for it
+  // begins when the endpoint's running work has ended; the time before is not
+  // counted.
   //
-  // Without that, one that is still busy is taken for a decode endpoint again
-  // while it changes its role: it grants reservations, looks empty, and refuses
-  // each prompt that was computed for it, which uses up the repeat budget.
+  // Otherwise an endpoint that was still busy would be treated as a decode
+  // endpoint again while it changes its role: it grants reservations, looks
+  // empty, and refuses each prompt that was computed for it, which uses up the
+  // repeat budget.
   void Watch(const EngineTraits& engine,
              const std::vector<const EndpointRecord*>& endpoints,
              const LoadTable& load_table,
              Instant now);
 
-  // Endpoints that change their role now, and for how long yet.
+  // Endpoints that are changing their role, and the time left.
   std::vector<EndpointPause> Pauses(Instant now) const;
 
-  // Share of the endpoints that should prefill at a headroom; 0 if unknown.
+  // Target share of prefill endpoints at a headroom; 0 if unknown.
   double PrefillShare(const EngineTraits& engine,
                       const forecast::ServiceForecast& forecast,
                       double headroom) const;
 
  private:
-  // How many of the endpoints should prefill.
+  // Target for the number of prefill endpoints.
   struct Bounds {
-    double share = 0;  // 0: not known
+    double share = 0;  // 0: unknown
     std::size_t min = 0;
     std::size_t max = 0;
   };
@@ -120,23 +126,23 @@
   Bounds PrefillBounds(const EngineTraits& engine,
                        const forecast::ServiceForecast& forecast,
                        std::size_t endpoints) const;
-  // How many of `from` are switched at the same time, at most.
-  std::size_t AtOnce(const std::vector<const EndpointRecord*>& from,
-                     std::size_t endpoints,
-                     const EngineTraits& engine,
-                     const LoadTable& load_table) const;
+  // Max number of endpoints in `from` that switch at the same time.
+  std::size_t MaxSwitchesAtOnce(const std::vector<const EndpointRecord*>& from,
+                                std::size_t endpoints,
+                                const EngineTraits& engine,
+                                const LoadTable& load_table) const;
 
   const Options options;
-  // Of all processes.
+  // Sizes of the requests of all processes.
   forecast::RequestSizes Sizes() const;
 
   struct PeerSizes {
     forecast::RequestSizes sizes;
     Instant at;
   };
-  forecast::RequestSizes own;
+  forecast::RequestSizes own_requests;
   std::map<std::string, PeerSizes> peers;
-  double prefill_use = 0;  // part of these endpoints, over the last seconds
+  double prefill_use = 0;  // share in use, over the last seconds
   struct Switch {
     EndpointRole role;  // the new one
     Instant until;
