--- a/src/gateway/event_splitter.cc
+++ b/src/gateway/event_splitter.cc
@@ -6,9 +6,9 @@
 namespace acacialug::gateway {
 namespace {
 
-// The end of the first whole event in `text` from `from` on: behind an empty
-// line, in either of the forms that lines end in.
-std::size_t EndOfEvent(std::string_view text, std::size_t from) {
+// The end of the first complete event in `text` from `from` on, which is after
+// an empty line. Lines end in LF or CRLF.
+std::size_t FindEventEnd(std::string_view text, std::size_t from) {
   for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
        at = text.find('\n', at + 1)) {
     const std::string_view rest = text.substr(at + 1);
@@ -22,7 +22,7 @@
   return std::string_view::npos;
 }
 
-std::optional<std::uint64_t> IdOf(std::string_view event) {
+std::optional<std::uint64_t> ParseId(std::string_view event) {
   constexpr std::string_view kField = "id:";
   while (!event.empty()) {
     const std::size_t end = event.find('\n');
@@ -48,19 +48,19 @@
 }  // namespace
 
 std::vector<StreamEvent> EventSplitter::Take(std::string_view bytes) {
-  // An empty line may have begun with the bytes that came before.
-  constexpr std::size_t kLongestBreak = 3;
-  const std::size_t searched = this->pending.size() > kLongestBreak
-                                   ? this->pending.size() - kLongestBreak
+  // The empty line may have begun in the bytes of an earlier call.
+  constexpr std::size_t kMaxSeparatorBytes = 3;
+  const std::size_t searched = this->pending.size() > kMaxSeparatorBytes
+                                   ? this->pending.size() - kMaxSeparatorBytes
                                    : 0;
   this->pending += bytes;
   std::vector<StreamEvent> events;
   std::size_t begin = 0;
   std::size_t from = searched;
-  for (std::size_t end = EndOfEvent(this->pending, from);
-       end != std::string::npos; end = EndOfEvent(this->pending, from)) {
+  for (std::size_t end = FindEventEnd(this->pending, from);
+       end != std::string::npos; end = FindEventEnd(this->pending, from)) {
     std::string event = this->pending.substr(begin, end - begin);
-    const std::optional<std::uint64_t> id = IdOf(event);
+    const std::optional<std::uint64_t> id = ParseId(event);
     events.push_back({.bytes = std::move(event), .id = id});
     begin = end;
     from = end;
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -9,24 +9,25 @@
 
 namespace acacialug::gateway {
 
-// One whole event of a stream, byte for byte.
+// One complete event of a stream, byte for byte.
 struct StreamEvent {
   std::string bytes;  // with the empty line that ends it
   std::optional<std::uint64_t> id;
 };
 
-// Cuts a stream of server-sent events into whole events, so that an endpoint
-// which breaks off in the middle of one leaves no half event with the caller,
-// and another endpoint can go on after the last whole one. Not thread safe.
+// Splits a stream of server-sent events into complete events. If an endpoint
+// breaks off in the middle of an event, the caller has received no partial
+// event, and another endpoint can continue after the last complete one. Not
+// thread safe.
 class EventSplitter {
  public:
-  // An event longer than this is no event of an endpoint's.
+  // Endpoints send no event longer than this.
   static constexpr std::size_t kMaxEventBytes = std::size_t{1} << 20;
 
-  // The events that are whole now.
+  // Adds `bytes` and returns the events that are complete now.
   std::vector<StreamEvent> Take(std::string_view bytes);
 
-  // Bytes of an event that is not whole.
+  // The bytes of an event that is not complete.
   const std::string& rest() const { return this->pending; }
   bool overflowed() const { return this->pending.size() > kMaxEventBytes; }
   void Clear() { this->pending.clear(); }
--- a/src/gateway/key_digest.h
+++ b/src/gateway/key_digest.h
@@ -9,7 +9,7 @@
 
 namespace acacialug::gateway {
 
-// Source: SHA-256 (FIPS 180-4). Thread safe.
+// The SHA-256 (FIPS 180-4) of a key. Thread safe.
 KeyDigest DigestOf(std::string_view key);
 
 // 64 lower-case hexadecimal digits. Thread safe.
--- a/src/gateway/repeat_budget.cc
+++ b/src/gateway/repeat_budget.cc
@@ -5,13 +5,13 @@
 namespace acacialug::gateway {
 namespace {
 
-// Bounds the memory of a window under a flood; what is forgotten only makes
-// the budget smaller.
-constexpr std::size_t kMaxKept = 20000;
+// Max entries of a window, which bounds its memory under a flood of requests.
+// Dropped entries only make the budget smaller.
+constexpr std::size_t kMaxEntries = 20000;
 
 void DropBefore(std::deque<Instant>& times, Instant oldest) {
   while (!times.empty() &&
-         (times.front() <= oldest || times.size() > kMaxKept)) {
+         (times.front() <= oldest || times.size() > kMaxEntries)) {
     times.pop_front();
   }
 }
@@ -19,12 +19,12 @@
 }  // namespace
 
 void RepeatBudget::Expire(Instant now) {
-  DropBefore(this->requests, now - this->options.window);
-  DropBefore(this->taken, now - this->options.window);
+  DropBefore(this->request_times, now - this->options.window);
+  DropBefore(this->repeat_times, now - this->options.window);
 }
 
 void RepeatBudget::NoteRequest(Instant now) {
-  this->requests.push_back(now);
+  this->request_times.push_back(now);
   this->Expire(now);
 }
 
@@ -34,10 +34,10 @@
   this->Expire(now);
   const double allowed =
       this->options.margin *
-      (this->options.share * static_cast<double>(this->requests.size()) +
+      (this->options.share * static_cast<double>(this->request_times.size()) +
        this->options.extra /
            static_cast<double>(std::max<std::size_t>(processes, 1)));
-  return static_cast<double>(this->taken.size() + repeats) <= allowed;
+  return static_cast<double>(this->repeat_times.size() + repeats) <= allowed;
 }
 
 bool RepeatBudget::TryTake(Instant now,
@@ -46,7 +46,7 @@
   if (!this->Allows(now, processes, repeats)) {
     return false;
   }
-  this->taken.insert(this->taken.end(), repeats, now);
+  this->repeat_times.insert(this->repeat_times.end(), repeats, now);
   return true;
 }
 
--- a/src/gateway/repeat_budget.h
+++ b/src/gateway/repeat_budget.h
@@ -8,43 +8,44 @@
 
 namespace acacialug::gateway {
 
-// Bounds what a service gets beyond the first arrival of each request, over a
-// sliding window and over all processes together: a share of the requests, and
-// a fixed allowance. Each process keeps to its part of the allowance, so that
-// the bound holds also while none hears another. (RetryBudget, which saves up
-// by successes, has no window and would allow a burst after a calm hour.) Not
-// thread safe.
+// Bounds the repeats that a service gets beyond the first arrival of each
+// request, over a sliding window and over all processes together: a share of
+// the requests, and a fixed allowance. Each process uses only its part of the
+// allowance, so that the bound also holds while the processes receive no
+// reports from each other. (RetryBudget, whose balance grows with successes,
+// has no window and would allow a burst after an hour of low load.) Not thread
+// safe.
 class RepeatBudget {
  public:
   struct Options {
     double share = 0.2;
-    double extra = 58;  // of all processes, in a window
+    double extra = 58;  // repeats of all processes in a window
     Duration window = 10s;
-    // Of both: what is left covers requests counted at other times here than
-    // where the bound is judged.
+    // Factor on both. The rest covers requests that are counted here at other
+    // times than where the bound is checked.
     double margin = 0.75;
   };
 
   explicit RepeatBudget(Options budget_options) : options(budget_options) {}
 
-  // A request for the service came.
+  // A request for the service arrived.
   void NoteRequest(Instant now);
 
-  // Whether `repeats` more are allowed now. `processes` share the extra, this
-  // one included.
+  // Whether another `repeats` are allowed now. `processes` share the fixed
+  // allowance, this process included.
   bool Allows(Instant now, std::size_t processes, std::uint32_t repeats = 1);
 
-  // The same, and counts them if so.
+  // The same, and counts them if they are allowed.
   bool TryTake(Instant now, std::size_t processes, std::uint32_t repeats = 1);
 
-  std::size_t repeats() const { return this->taken.size(); }
+  std::size_t repeats() const { return this->repeat_times.size(); }
 
  private:
   void Expire(Instant now);
 
   const Options options;
-  std::deque<Instant> requests;
-  std::deque<Instant> taken;
+  std::deque<Instant> request_times;
+  std::deque<Instant> repeat_times;
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/request_key.cc
+++ b/src/gateway/request_key.cc
@@ -8,8 +8,8 @@
 namespace acacialug::gateway {
 
 retry::RequestKey RequestKeyOf(const WorkRequest& request) {
-  // Each hash seeds the next, so that text does not pass from one part to
-  // another unnoticed.
+  // Each hash seeds the next, so that text moved from one part to another
+  // changes the result.
   std::uint64_t hash = 0;
   for (const std::string_view part : std::initializer_list<std::string_view>{
            request.customer.text, request.message.method, request.host,
--- a/src/gateway/request_key.h
+++ b/src/gateway/request_key.h
@@ -6,8 +6,8 @@
 
 namespace acacialug::gateway {
 
-// Of customer, method, host, target and body: a caller that sends a request
-// again may change its other headers. Thread safe.
+// The key covers customer, method, host, target and body. A caller that sends a
+// request again may change the other headers. Thread safe.
 retry::RequestKey RequestKeyOf(const WorkRequest& request);
 
 }  // namespace acacialug::gateway
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -70,12 +70,12 @@
   if (total == 0) {
     return route.services.front().service;
   }
-  std::uint64_t ticket = placement::HashText(request_id) % total;
+  std::uint64_t point = placement::HashText(request_id) % total;
   for (const WeightedService& choice : route.services) {
-    if (ticket < choice.weight) {
+    if (point < choice.weight) {
       return choice.service;
     }
-    ticket -= choice.weight;
+    point -= choice.weight;
   }
   return route.services.back().service;
 }
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -12,37 +12,37 @@
 
 namespace acacialug::gateway {
 
-// Finds the route of a request: of its host's routes the one with the longest
-// prefix that begins the path. Immutable; thread safe.
+// Finds the route of a request: the one of its host's routes with the longest
+// prefix of the path. Immutable and thread safe.
 class RouteTable {
  public:
   explicit RouteTable(std::shared_ptr<const Configuration> configuration);
 
-  // Null: no route allows the request. `host` may carry a port.
+  // Returns null if no route matches the request. `host` may include a port.
   const Route* Find(std::string_view host, std::string_view path) const;
 
-  // Null: the configuration does not name the service.
+  // Returns null if the configuration does not name the service.
   const ServiceTraits* FindService(const ServiceName& service) const;
 
-  // Null: no customer holds the key.
+  // Returns null if no customer owns the key.
   const Customer* FindCustomer(const KeyDigest& key) const;
-  // Of the customer whose name has this hash (placement::HashText); null: none
-  // is called so.
+  // The limit of the customer whose name has this hash (placement::HashText).
+  // Returns null if there is no such customer.
   const CustomerLimit* FindLimit(std::uint64_t name_hash) const;
 
   const Configuration& configuration() const { return *this->source; }
 
  private:
   std::shared_ptr<const Configuration> source;
-  // Of each host, longest prefix first.
+  // The routes of each host, those with the longest prefix first.
   std::map<std::string, std::vector<const Route*>, std::less<>> by_host;
   std::map<ServiceName, const ServiceTraits*> services;
   std::unordered_map<KeyDigest, const Customer*> by_key;
   std::unordered_map<std::uint64_t, const CustomerLimit*> limits;
 };
 
-// The service that a request of a route goes to. A request with the same name
-// always gets the same one, so that every process decides alike.
+// Chooses the service for a request of a route. Requests with the same id
+// always get the same service, so that all processes make the same choice.
 const ServiceName& PickService(const Route& route, std::string_view request_id);
 
 }  // namespace acacialug::gateway
