--- a/src/gateway/gateway_core.cc
+++ b/src/gateway/gateway_core.cc
@@ -20,22 +20,25 @@
 namespace acacialug::gateway {
 namespace {
 
-// What a caller is told while this process leaves: others serve it at once.
+// Retry-After while this process drains: other processes can serve the caller
+// at once.
 constexpr Duration kRetryElsewhere = 50ms;
-// And while it knows no configuration. Nobody is sent to one process that is
-// not ready while others are, so that all have just started, and know one in
-// about a second. Asked back sooner, callers spend their last try in vain.
+// Retry-After while this process knows no configuration. Requests reach a
+// process that is not ready only while no other process is ready either; all
+// processes have just started then, and know a configuration in about a second.
+// With a shorter delay callers would use up their last attempt before that.
 constexpr Duration kRetryStarting = 700ms;
-// A service without an endpoint has none for some heartbeats at least.
+// Retry-After while a service has no endpoint, which lasts for several
+// heartbeats at least.
 constexpr Duration kRetryNoEndpoint = 500ms;
 constexpr Duration kSweepInterval = 200ms;
-// As a factor: what is learned moves by less all the time.
-constexpr double kNotedChange = 1.25;
-// Callers on one route differ by up to this share in the time that they give a
-// request. It is under AdmissionQueue's
-// least time of return, so that whoever was refused is told from whoever is
-// impatient.
-constexpr double kPatienceSpread = 0.17;
+// Factor by which a forecast figure must change before it is logged again.
+// Figures vary by less than this all the time.
+constexpr double kLoggedChangeFactor = 1.25;
+// Deadlines of first attempts on one route differ by up to this share. It is
+// below AdmissionQueue::Options::min_retry_share, so that a retry of a refused
+// request is distinguished from a first attempt with a short deadline.
+constexpr double kDeadlineSpread = 0.17;
 
 }  // namespace
 
@@ -92,8 +95,9 @@
 
   void Handle(http::Request request, http::ResponderPtr responder) {
     const Instant now = this->Now();
-    // Callers count from their sending. Counted from when it was read, a
-    // request that lay unread would be handed on with more time than is left.
+    // Callers count their deadlines from the time of sending. If the deadline
+    // counted from the time of reading, a request that lay unread would be
+    // forwarded with more time than is left.
     const Duration age = request.age;
     RelayJob job{
         .request = this->options.dialect.read_request(std::move(request)),
@@ -101,14 +105,15 @@
         .routes = this->routes,
         .arrived = now - age};
     job.attempt = this->NextAttempt();
-    const Refusal no_way = this->FindWay(job);
-    // The customer, which FindWay fills in, is part of it.
+    const Refusal unroutable = this->FindRoute(job);
+    // The key includes the customer, which FindRoute fills in.
     job.key = RequestKeyOf(job.request);
-    if (no_way.code != ResultCode::kOk) {
-      this->AnswerWithoutRelay(job, no_way);
+    if (unroutable.code != ResultCode::kOk) {
+      this->AnswerWithoutRelay(job, unroutable);
       return;
     }
-    // Its alarm would ring only after it had been sent on.
+    // The deadline timer would fire only after the request had been sent to an
+    // endpoint.
     if (age > Duration::zero() &&
         age >= std::min(job.route->timeout,
                         job.request.deadline.value_or(job.route->timeout))) {
@@ -175,7 +180,7 @@
     if (pause.reason == PauseReason::kUnreachable) {
       if (this->health.NoteReportedUnreachable(pause.endpoint_key, pause.left,
                                                this->Now())) {
-        this->NoteDoubt(pause);
+        this->LogSuspect(pause);
       }
     } else {
       this->health.NotePause(pause.endpoint_key, this->Now() + pause.left);
@@ -194,7 +199,7 @@
     if (next == this->services.end()) {
       next = this->services.begin();
     }
-    // All are looked at once at most.
+    // Visits each service at most once.
     for (std::size_t looked = 0; looked < this->services.size(); ++looked) {
       const auto& [service, state] = *next;
       if (state.forecast.HasObservations()) {
@@ -276,9 +281,10 @@
   RoleOrders roles;
 
  private:
-  // A runner that starts again under its id would keep the load, the failures
-  // and the slowness of its former life: it looked full or ill for seconds, and
-  // its streams' ends were taken off what was placed there since.
+  // Without this, an endpoint that restarts under the same id would keep the
+  // load, the failures and the slowness of its previous incarnation: it would
+  // look full or unhealthy for seconds, and the ends of its former streams
+  // would be subtracted from the load that was placed there since.
   void OnRestart(const EndpointRecord& started) {
     this->load_table.Forget(started.id);
     this->health.Forget(started.id);
@@ -289,8 +295,9 @@
                     {"born_unix_ms", started.started_at_ms}}});
   }
 
-  // Peers know an endpoint by a hash of its id; whoever reads the log does not.
-  void NoteDoubt(const EndpointPause& pause) {
+  // Peers report an endpoint by a hash of its id, which a reader of the log
+  // cannot resolve.
+  void LogSuspect(const EndpointPause& pause) {
     const EndpointRecord* const endpoint =
         this->catalog.FindByKey(pause.endpoint_key);
     if (endpoint != nullptr) {
@@ -315,8 +322,9 @@
         .first->second;
   }
 
-  // Fills in where the request goes; or why it goes nowhere.
-  Refusal FindWay(RelayJob& job) {
+  // Fills in the route and the service of the request, or returns why there is
+  // none.
+  Refusal FindRoute(RelayJob& job) {
     if (this->routes == nullptr) {
       return {ResultCode::kNotReady, kRetryStarting};
     }
@@ -339,7 +347,8 @@
     return {};
   }
 
-  // Callers may give several attempts one id.
+  // The request's id does not identify an attempt, as callers may use one id
+  // for several attempts.
   std::uint32_t NextAttempt() {
     return static_cast<std::uint32_t>(
         placement::RendezvousWeight(this->attempt_seed, ++this->attempts));
@@ -385,7 +394,7 @@
   }
 
   void BeginStream(RelayJob job) {
-    this->JudgeDeadline(job);
+    this->DetectRetry(job);
     this->roles.NoteRequest(job.service,
                             job.request.size.value_or(GenerationSize{}));
     const auto relay =
@@ -396,9 +405,10 @@
     }
   }
 
-  // A caller that was refused comes back as a new request; only its deadline,
-  // shorter than that of others on the route, tells that it does.
-  void JudgeDeadline(RelayJob& job) {
+  // A retry of a refused request arrives as a new request. Only its deadline,
+  // which is shorter than those of others on the route, shows that it is a
+  // retry.
+  void DetectRetry(RelayJob& job) {
     if (!job.request.deadline) {
       return;
     }
@@ -406,7 +416,7 @@
     longest = std::max(longest, *job.request.deadline);
     job.spent = longest - *job.request.deadline;
     job.is_retry = job.spent > job.route->objective &&
-                   Seconds(job.spent) > kPatienceSpread * Seconds(longest);
+                   Seconds(job.spent) > kDeadlineSpread * Seconds(longest);
   }
 
   void OnFinished(Relay& finished) {
@@ -425,16 +435,18 @@
       this->waiting.PlaceAll();
     }
     for (auto& [service, state] : this->services) {
-      this->NoteForecast(service, state);
+      this->LogForecastChange(service, state);
     }
     this->timers.Set(now + kSweepInterval, [this] { this->Sweep(); });
   }
 
-  // A line when what is believed of a service's engines has changed by more
-  // than a quarter since the last one.
-  void NoteForecast(const ServiceName& service, ServiceState& state) const {
+  // Logs the forecast of a service's engines when it has changed by more than a
+  // quarter since the last log entry.
+  void LogForecastChange(const ServiceName& service,
+                         ServiceState& state) const {
     const forecast::ForecastDigest figures = state.forecast.Report();
-    if (!forecast::Differ(figures, state.forecast_logged, kNotedChange)) {
+    if (!forecast::Differ(figures, state.forecast_logged,
+                          kLoggedChangeFactor)) {
       return;
     }
     state.forecast_logged = figures;
@@ -454,13 +466,13 @@
     return placement::HashText(service.text);
   }
 
-  // Of this start of the process.
+  // Differs with each start of the process.
   const std::uint64_t attempt_seed = placement::RendezvousWeight(
       placement::HashText(this->options.id),
       static_cast<std::uint64_t>(this->Now().time_since_epoch().count()));
   std::uint64_t attempts = 0;
   std::map<std::string, Duration> longest_deadlines;  // by route
-  ServiceName last_reported;  // of whose forecast peers heard last
+  ServiceName last_reported;  // of the latest forecast report
 };
 
 GatewayCore::GatewayCore(Options core_options, RandomSource& random_source)
--- a/src/gateway/gateway_core.h
+++ b/src/gateway/gateway_core.h
@@ -23,22 +23,23 @@
 
 namespace acacialug::gateway {
 
-// The decisions of a gateway: requests that are passed on unchanged to
-// endpoints which this process calls itself, with no agent between. Has no
-// socket, thread or clock; what it needs comes by hooks and calls. All methods
-// run on one thread; not thread safe.
+// Makes the decisions of a gateway, which forwards requests unchanged to
+// endpoints that this process calls directly, with no agent between. Has no
+// socket, thread or clock of its own: hooks and calls supply what it needs. All
+// methods run on one thread; not thread safe.
 class GatewayCore {
  public:
   struct Options {
-    std::string id;  // of this process, as the holder of orders
+    std::string id;  // of this process, named as the holder in its orders
     FailureDomain domain;
-    // Arrivals at a service beyond the first of each request, of all processes
-    // together: this share of its requests and this many more, in any window.
+    // Limits repeats, which are arrivals at a service beyond the first of each
+    // request. All processes together send at most this share of the service's
+    // requests plus `repeat_extra`, in any `repeat_window`.
     double repeat_share = 0.2;
     double repeat_extra = 58;
     Duration repeat_window = 10s;
-    // While it drains, requests that come later than this are refused: a
-    // stream that begins then would be cut off by the end of the grace.
+    // For how long a draining process still accepts new requests. A stream that
+    // began later would be cut off at the end of the grace period.
     Duration drain_admission = 2500ms;
     StreamPlacement::Options placement;
     AdmissionQueue::Options admission;
@@ -51,53 +52,57 @@
   GatewayCore(Options core_options, RandomSource& random_source);
   ~GatewayCore();
 
-  // A request came. Answers it by the responder, now or later.
+  // Answers `request` through `responder`, before it returns or later.
   void Handle(http::Request request, http::ResponderPtr responder);
 
-  // A configuration is in force from now on, unless it is not newer than the
-  // present one. Requests under way keep theirs. True: taken.
+  // Activates a configuration if it is newer than the active one, and returns
+  // whether it did. Requests under way keep the configuration that they arrived
+  // under.
   bool SetConfiguration(std::shared_ptr<const Configuration> newest);
-  // Null: none is known yet.
+  // Null while no configuration is known.
   std::shared_ptr<const Configuration> configuration() const;
 
-  // News of endpoints; true when anything changed.
+  // Updates the known endpoints; returns whether anything changed.
   bool Apply(const EndpointChange& change);
   bool Apply(const EndpointSnapshot& snapshot);
   EndpointSnapshot Endpoints() const;
   LogOffset endpoints_complete_to() const;
   LogOffset endpoints_changed_to() const;
 
-  // The store of configuration and endpoints stopped, or began, to serve.
+  // The store of configuration and endpoints became unavailable, or available
+  // again.
   void NoteStoreLost();
   void NoteStoreBack();
 
-  // Peers: what they placed, how many there were lately, heard or not (this
-  // process not counted), and whether it is the first of those alive.
+  // The load that a peer has placed; how many peers there were recently, live
+  // or not (this process not counted), and whether this process is the first of
+  // the live processes.
   void SetPeerLoad(const std::string& peer, const PeerLoad& load);
   void SetPeers(std::size_t peers, bool first);
   PeerLoad OwnLoad() const;
-  // Endpoints whose role this process is changing, and those that it cannot
-  // reach; and what a peer told.
+  // Endpoints whose role this process is changing, and endpoints that it cannot
+  // reach; and a pause that a peer reported.
   std::vector<EndpointPause> OwnPauses() const;
   void SetPause(const EndpointPause& pause);
 
-  // What this process learned of the services' engines, and what a peer did.
-  // Of one service after the other, one with each call; empty: of none yet.
+  // What this process observed of the services' engines, and what a peer
+  // observed. Each call returns the forecast of the next service in turn; empty
+  // while there are no observations of any service.
   std::optional<forecast::ForecastReport> NextForecast();
   void SetPeerForecast(const std::string& peer,
                        const forecast::ForecastReport& reported);
 
-  // Requests under which endpoints ended: what the peers should hear of them
-  // (CrashLedger::CollectReports), what a peer told, and that a peer knows
-  // nothing yet.
+  // Requests that were running when their endpoints ended: the reports that the
+  // peers should receive (CrashLedger::CollectReports), a report of a peer, and
+  // a renewed sending of the reports because a peer has received none yet.
   std::vector<retry::CrashRecord> CollectCrashReports(std::size_t max_count,
                                                       std::size_t round) const;
   void SetPeerCrash(const retry::CrashRecord& reported);
   void ResendCrashReports();
 
-  // Customers' quotas: what the peers of a group should hear of what this
-  // process took (quota::QuotaLedger::CollectReports); that a peer was heard,
-  // with what it told; and that one is said to be there.
+  // Customers' quotas: the reports of what this process took that the peers of
+  // a group should receive (quota::QuotaLedger::CollectReports); a peer's
+  // heartbeat with its reports; and a peer that is listed.
   std::vector<quota::QuotaUse> CollectQuotaReports(std::size_t group,
                                                    std::size_t max_count);
   void OnPeerHeartbeat(const std::string& peer,
@@ -105,15 +110,17 @@
                        const std::vector<quota::QuotaUse>& reported);
   void OnPeerListed(const std::string& peer);
 
-  // New work is refused after a while, and answers close their connections.
+  // Refuses new work after Options::drain_admission, and closes the connection
+  // with each answer.
   void BeginDrain();
 
-  // Rings what is due. Call it at next_timer(). A call that comes much later
-  // tells of a standstill, as GatewayHooks::on_stall does.
+  // Fires the timers that are due. Must be called at next_timer(); a call that
+  // comes much later indicates a process stall, which is reported by
+  // GatewayHooks::on_stall.
   void OnTimer();
   Instant next_timer() const;
 
-  // A configuration and an endpoint are known.
+  // Whether a configuration and an endpoint are known.
   bool Ready() const;
   std::size_t requests_under_way() const;
   std::size_t requests_waiting() const;
--- a/src/gateway/internal/call_relay.cc
+++ b/src/gateway/internal/call_relay.cc
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr int kFirstServerError = 500;
-// Silence after which a request that may run again is sent to another endpoint,
-// as a multiple of its objective: a sound endpoint answers in under twice that
-// at the worst (work of at most 220 ms for an objective of 150 ms).
-constexpr double kSilenceObjectives = 2.5;
-// Sends that did not run, after which a request is given up: each costs a
-// round trip, and a service that rejects three times is full.
+// Response timeout after which a request that may run again is sent to another
+// endpoint, as a multiple of its objective. A healthy endpoint answers in under
+// twice the objective at the worst (work of at most 220 ms for an objective of
+// 150 ms).
+constexpr double kResponseTimeoutObjectives = 2.5;
+// Sends after which a request that did not run is abandoned: each costs a round
+// trip, and a service that rejects three times is full.
 constexpr std::uint32_t kMaxSends = 4;
-// What a caller is told when the service has no room or no endpoint.
+// Retry-After when the service has no free capacity or no endpoint.
 constexpr Duration kRetrySoon = 300ms;
 
 }  // namespace
@@ -76,9 +77,9 @@
 
 void CallRelay::StartResponseTimer() {
   if (this->MayRunAgain()) {
-    this->SetPhaseTimer(
-        FromSeconds(kSilenceObjectives * Seconds(this->work.route->objective)),
-        [this] { this->OnResponseTimeout(); });
+    this->SetPhaseTimer(FromSeconds(kResponseTimeoutObjectives *
+                                    Seconds(this->work.route->objective)),
+                        [this] { this->OnResponseTimeout(); });
   }
 }
 
@@ -147,8 +148,8 @@
 }
 
 void CallRelay::OnResponseTimeout() {
-  // Stopped with nowhere to go on it would be answered 502, though it may still
-  // be answered where it is.
+  // A request that is stopped while no other endpoint can take it would be
+  // answered with 502, though its present endpoint may still answer it.
   const EndpointRecord* const other = this->FindEndpoint({this->endpoint.id});
   const bool elsewhere = other != nullptr && other->id != this->endpoint.id;
   if (!elsewhere || !this->TakeRepeat()) {
--- a/src/gateway/internal/call_relay.h
+++ b/src/gateway/internal/call_relay.h
@@ -7,8 +7,9 @@
 
 namespace acacialug::gateway {
 
-// A plain request: whole request in, whole answer out. It goes to a second
-// endpoint only after a proof that it did not run, or if it may run again.
+// A plain request: the whole request is sent, and the whole answer is returned.
+// It goes to a second endpoint only after a proof that it did not run, or if it
+// may run again.
 class CallRelay : public Relay {
  public:
   using Relay::Relay;
@@ -20,7 +21,8 @@
   void Release() override;
 
  private:
-  // Null: every endpoint is full. Those avoided or tried come last.
+  // Null when every endpoint is full. Endpoints that are avoided or were tried
+  // are chosen last.
   const EndpointRecord* FindEndpoint(std::vector<EndpointId> avoided);
   void Send(const EndpointRecord& endpoint);
   void OnHead(int status, const http::Headers& headers);
@@ -28,11 +30,12 @@
   void OnLost(const Error& error, bool sent);
   void StartResponseTimer();
   void OnResponseTimeout();
-  // The attempt is over and did not run.
+  // The attempt ended and did not run.
   void AfterNotRun(ResultCode code);
-  // The attempt may have run, or has run and failed, and is given up.
+  // The attempt may have run, or has run and failed, and is abandoned.
   void AfterRun(ResultCode code);
-  // True when it may run again at another endpoint; takes that from the budget.
+  // Whether the request may run again at another endpoint. If so, takes a
+  // repeat from the budget.
   bool TakeRepeat();
   void EndAttempt();
   void ReleaseLoad();
--- a/src/gateway/internal/candidates.cc
+++ b/src/gateway/internal/candidates.cc
@@ -48,8 +48,9 @@
 Candidates::Choice Candidates::Side::Choose(Duration age,
                                             Duration hold,
                                             RandomSource& random) const {
-  // As much is placed as ends, and each piece is there for `hold`: what is
-  // placed meanwhile follows by Little's law.
+  // Work is assumed to be placed at the rate at which it ends, and each item
+  // stays for `hold`, so that Little's law gives the load that was placed since
+  // the reports.
   const double age_in_holds = Seconds(age) / Seconds(std::max(hold, kMinHold));
   const auto at =
       ChooseByLevel(this->loads, this->placed * age_in_holds, random);
@@ -59,8 +60,9 @@
   const double mean =
       std::accumulate(this->loads.begin(), this->loads.end(), 0.0) /
       static_cast<double>(this->loads.size());
-  // What was there has ended by this share, and others have the same chance of
-  // what came since.
+  // This share of the reported load has not ended yet. Load that was placed
+  // since is equally likely at each endpoint, so that it adds nothing to the
+  // difference from the mean.
   const double still_there = std::exp(-age_in_holds);
   return {.endpoint = this->endpoints[*at],
           .rank = this->best,
--- a/src/gateway/internal/candidates.h
+++ b/src/gateway/internal/candidates.h
@@ -14,52 +14,56 @@
 // Endpoints of a better rank are chosen whatever their load.
 enum class CandidateRank {
   kHealthy,
-  kPrefillBusy,  // a prompt is computed there that holds its streams up for
-                 // longer than their callers allow
-  kAvoided,      // silent, failing, or full a moment ago
+  kPrefillBusy,  // computes a prompt that delays its streams for longer than
+                 // their callers allow
+  kAvoided,      // unresponsive, failing, or recently full
   kTried,        // for the same request
 };
 
-// What is known of work that was placed and not yet told.
+// How stale the load data is: work that peers have placed since their last
+// reports is missing from it.
 struct LoadStaleness {
-  Duration near_age{};  // of news from one's own failure domain
-  Duration far_age{};   // and from the others
-  Duration hold{};      // for how long a piece of work is at its endpoint
+  Duration near_age{};  // of reports from the local failure domain
+  Duration far_age{};   // of reports from the other domains
+  Duration hold{};      // for how long one work item stays at its endpoint
 
   static LoadStaleness Measure(const LoadTable& load_table,
                                Duration hold,
                                Instant now);
 };
 
-// The endpoints that one piece of work may be placed at. Those of one's own
-// failure domain and the others are weighed apart: of the first the news are
-// fresher, and what is moved between domains takes longer. Within each an
-// endpoint is chosen by ChooseByLevel. Not thread safe.
+// The endpoints at which one work item may be placed. Endpoints of the local
+// failure domain and of the others are weighed separately: load reports of the
+// local domain are more recent, and a transfer between domains takes longer.
+// Within each group an endpoint is chosen by ChooseByLevel. Not thread safe.
 class Candidates {
  public:
   struct Choice {
-    const EndpointRecord* endpoint = nullptr;  // null: there was none
+    const EndpointRecord* endpoint = nullptr;  // null: no candidate
     CandidateRank rank = CandidateRank::kHealthy;
-    double load = 0;  // as expected by now
+    double load = 0;  // expected at present
   };
 
-  // `own_domain` outlives this object.
-  explicit Candidates(const FailureDomain& own_domain) : domain(own_domain) {}
+  // `local_domain` outlives this object.
+  explicit Candidates(const FailureDomain& local_domain)
+      : domain(local_domain) {}
 
-  // Work of all processes at an endpoint, whether it is a candidate or not.
+  // Counts the load that all processes have placed at an endpoint, whether it
+  // is a candidate or not.
   void NotePlaced(const EndpointRecord& endpoint, double load);
 
-  // In the same unit as what is placed. `endpoint` outlives this object.
+  // `load` has the unit of NotePlaced. `endpoint` outlives this object.
   void Add(const EndpointRecord& endpoint, CandidateRank rank, double load);
 
-  // One of the own domain, unless one of another is expected to be less loaded
-  // by more than `distance`, or has a better rank.
+  // An endpoint of the local domain, unless an endpoint of another domain is
+  // expected to be less loaded by more than `distance`, or has a better rank.
   Choice Choose(const LoadStaleness& staleness,
                 double distance,
                 RandomSource& random) const;
 
  private:
-  // Of some failure domains, those of the best rank seen.
+  // The candidates of one group of failure domains: those of the best rank that
+  // was added.
   struct Side {
     CandidateRank best = CandidateRank::kHealthy;
     std::vector<const EndpointRecord*> endpoints;
--- a/src/gateway/internal/customer_admission.cc
+++ b/src/gateway/internal/customer_admission.cc
@@ -8,8 +8,9 @@
 namespace acacialug::gateway {
 namespace {
 
-// Only to tell a dropped key from one that never was, in the log.
-constexpr std::size_t kMaxDropped = 4096;
+// Maximum number of dropped keys that are kept. They serve only to distinguish,
+// in the log, a dropped key from a key that never existed.
+constexpr std::size_t kMaxDroppedKeys = 4096;
 
 double AmountOf(const WorkRequest& request, const CustomerLimit& limit) {
   if (limit.unit == LimitUnit::kRequests) {
@@ -24,8 +25,8 @@
   return quota::CustomerKey(placement::HashText(name.text));
 }
 
-// After a send it may have run, or its prompt was computed at least.
-bool RanNowhere(const RelayOutcome& outcome) {
+// After a send the request may have run, or at least its prompt was computed.
+bool DidNotRun(const RelayOutcome& outcome) {
   return outcome.end == RelayEnd::kRefused ||
          (outcome.end == RelayEnd::kCallerGone && outcome.sends == 0 &&
           outcome.prefills == 0);
@@ -100,7 +101,7 @@
 void CustomerAdmission::OnFinished(const RelayJob& job,
                                    const RelayOutcome& outcome,
                                    Instant now) {
-  if (job.quota_taken > 0 && RanNowhere(outcome)) {
+  if (job.quota_taken > 0 && DidNotRun(outcome)) {
     this->quotas.Refund(KeyOf(job.customer->name), job.quota_taken, now);
   }
 }
@@ -121,13 +122,13 @@
   if (former == nullptr || !former->configuration().customers) {
     return;
   }
-  if (this->dropped.size() >= kMaxDropped) {
+  if (this->dropped.size() >= kMaxDroppedKeys) {
     this->dropped.clear();
   }
   for (const Customer& customer : *former->configuration().customers) {
     for (const KeyDigest& key : customer.keys) {
       if (newest.FindCustomer(key) == nullptr &&
-          this->dropped.size() < kMaxDropped) {
+          this->dropped.size() < kMaxDroppedKeys) {
         this->dropped[key] = newest.configuration().version;
       }
     }
--- a/src/gateway/internal/customer_admission.h
+++ b/src/gateway/internal/customer_admission.h
@@ -14,45 +14,48 @@
 
 namespace acacialug::gateway {
 
-// Whose request it is, and whether its customer may have it now. Answers
-// callers with keys that were dropped or never were, and customers that ask for
-// more than their limit, before anything is queued, placed or counted. Not
-// thread safe.
+// Identifies the customer of a request, and decides whether the request is
+// admitted now. Refuses requests with keys that were dropped or never existed,
+// and requests over their customer's limit, before anything is queued, placed
+// or counted. Not thread safe.
 class CustomerAdmission {
  public:
   struct Options {
     quota::Tolerance tolerance;
-    // Null: no configuration is known.
+    // Returns null while no configuration is known.
     std::function<const RouteTable*()> routes;
   };
 
   explicit CustomerAdmission(Options admission_options);
 
-  // What is told of a refusal, beside its code.
+  // `retry_after` is sent with a refusal, and `cause` is logged with it.
   struct Decision {
     ResultCode code = ResultCode::kOk;
     Duration retry_after{};
     std::vector<log::Field> cause;
   };
 
-  // Fills in the job's customer and priority. Precondition: it has a route.
-  // kUnknownCaller: the route needs a key that is held, and it shows none.
+  // Fills in the job's customer and priority. Returns kUnknownCaller when the
+  // route requires a customer's key and the request has none. Precondition: the
+  // job has a route.
   Decision Identify(RelayJob& job) const;
 
-  // Takes the request from its customer's quota, or kCallerOverLimit.
-  // Precondition: Identify.
+  // Takes the request's amount from its customer's quota, or returns
+  // kCallerOverLimit. Precondition: Identify.
   Decision Take(RelayJob& job, Instant now);
-  // A request that was taken is over; one that did not run gives it back.
+  // Called when a request that Take granted has ended. Refunds the quota of a
+  // request that did not run.
   void OnFinished(const RelayJob& job,
                   const RelayOutcome& outcome,
                   Instant now);
 
-  // Another configuration takes the place of the one in force; null: of none.
+  // Another configuration replaces the active one; `former` is null when none
+  // was active.
   void OnConfigurationReplaced(const RouteTable* former,
                                const RouteTable& newest);
 
-  // As of quota::QuotaLedger; passed over without customers, since there is
-  // nothing to share.
+  // As quota::QuotaLedger::OnPeerReport. Ignored when the configuration has no
+  // customers, since there is no quota to share.
   void OnPeerHeartbeat(const std::string& peer,
                        Incarnation incarnation,
                        const std::vector<quota::QuotaUse>& reported,
@@ -63,7 +66,7 @@
  private:
   const Options options;
   quota::QuotaLedger quotas;
-  // Keys that were held, by the version that dropped them.
+  // Former keys of customers, with the configuration version that dropped them.
   std::unordered_map<KeyDigest, std::uint64_t> dropped;
 };
 
--- a/src/gateway/internal/refusal.cc
+++ b/src/gateway/internal/refusal.cc
@@ -11,7 +11,8 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kBadGateway = 502;
 
-// Codes that are not here: 503 for what did not run, else 502.
+// Codes that are not listed have status 503 if the request did not run, and 502
+// otherwise.
 constexpr std::array<std::pair<ResultCode, int>, 8> kStatuses = {
     {{ResultCode::kUnknownRoute, 404},
      {ResultCode::kUnknownCaller, 401},
@@ -31,8 +32,8 @@
   return IsNotRun(code) ? kServiceUnavailable : kBadGateway;
 }
 
-// Retry-After in seconds, to the hundredth: callers here read fractions, and a
-// whole second is longer than most waits.
+// Retry-After in seconds, to the hundredth: callers of the gateway parse
+// fractions, and a whole second is longer than most waits.
 std::string SecondsText(Duration duration) {
   constexpr int kHundredths = 100;
   const auto hundredths = static_cast<long>(Seconds(duration) * kHundredths);
--- a/src/gateway/internal/refusal.h
+++ b/src/gateway/internal/refusal.h
@@ -7,10 +7,10 @@
 
 namespace acacialug::gateway {
 
-// The gateway's own final answer: 503, or 429 over a customer's limit, with
-// Retry-After for what provably did not run, 502 or 504 for what may have run,
-// 404 for what no route allows, 401 for a key that no customer holds.
-// Thread safe.
+// Makes the gateway's own final answer: 503 with Retry-After for a request that
+// provably did not run, 429 with Retry-After for one over a customer's limit,
+// 502 or 504 for one that may have run, 404 for one that no route allows, and
+// 401 for a key that no customer holds. Thread safe.
 http::Response MakeOwnAnswer(ResultCode code,
                              Duration retry_after,
                              bool close_connection);
--- a/src/gateway/internal/relay.cc
+++ b/src/gateway/internal/relay.cc
@@ -10,7 +10,7 @@
 namespace acacialug::gateway {
 namespace {
 
-// A start of an endpoint, the same at every process.
+// Identifies one start of an endpoint; the same at every process.
 std::uint64_t StartKeyOf(const EndpointRecord& endpoint) {
   return placement::RendezvousWeight(
       LoadTable::KeyOf(endpoint.id),
@@ -29,7 +29,8 @@
 
 void Relay::Begin(std::function<void(Relay&)> on_finished) {
   this->finished_hook = std::move(on_finished);
-  // Not shared: the responder is this relay's own, and would keep it for ever.
+  // A weak pointer: this relay owns the responder, and a shared pointer in it
+  // would keep the relay alive forever.
   this->work.responder->SetOnGone([weak = this->weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->OnCallerGone();
@@ -65,7 +66,8 @@
                      AnswerNature nature) {
   this->context.health.NoteLost(endpoint.id, sent, this->Now());
   const EndpointRecord* const known = this->context.catalog.Find(endpoint.id);
-  // One that leaves as it was told to ends under whatever is left.
+  // An endpoint that leaves as ordered ends with whatever requests it has left,
+  // so that its end is not attributed to the request.
   const bool planned = known != nullptr && known->leaving;
   if (!sent || planned || nature == AnswerNature::kNotRun ||
       nature == AnswerNature::kMisplaced) {
@@ -143,17 +145,17 @@
 }
 
 http::Headers Relay::CallerHeaders(const http::Headers& headers) const {
-  http::Headers passed;
-  passed.reserve(headers.size() + 1);
+  http::Headers forwarded;
+  forwarded.reserve(headers.size() + 1);
   for (const http::Header& header : headers) {
     if (!http::IsHopByHop(headers, header.name)) {
-      passed.push_back(header);
+      forwarded.push_back(header);
     }
   }
   if (this->context.closing()) {
-    passed.push_back({"Connection", "close"});
+    forwarded.push_back({"Connection", "close"});
   }
-  return passed;
+  return forwarded;
 }
 
 void Relay::Finish(RelayEnd end, ResultCode code, int status) {
--- a/src/gateway/internal/relay.h
+++ b/src/gateway/internal/relay.h
@@ -10,9 +10,9 @@
 
 namespace acacialug::gateway {
 
-// What relays of every kind have in common: a request, its deadline, at most
-// one exchange with an endpoint, and one final answer. Keeps itself alive by
-// the hooks that it waits on; `on_finished` runs once, at its end.
+// The common part of all relays: a request, its deadline, at most one exchange
+// with an endpoint, and one final answer. A relay is kept alive by the hooks
+// that it waits for; `on_finished` runs once, at its end.
 class Relay : public std::enable_shared_from_this<Relay> {
  public:
   Relay(RelayContext& relay_context, RelayJob relay_job);
@@ -20,13 +20,15 @@
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // Watches the caller and the deadline. Call it once, first.
+  // Starts to watch the caller and the deadline. Must be called once, before
+  // all other methods.
   void Begin(std::function<void(Relay&)> on_finished);
 
-  // Tries to go on; false: there is no place now, and nothing was sent.
+  // Tries to place the request and to continue. Returns false when there is no
+  // placement now; nothing was sent then.
   virtual bool TryPlace() = 0;
 
-  // Ends it with an answer of the gateway's own. Precondition: nothing of an
+  // Ends the request with the gateway's own answer. Precondition: no part of an
   // answer was sent.
   void Refuse(ResultCode code, Duration retry_after);
 
@@ -34,13 +36,14 @@
   const RelayOutcome& result() const { return this->outcome; }
   bool finished() const { return this->is_finished; }
   Duration Age() const;
-  // Until its caller, or its route, gives up.
+  // The time until the caller's deadline or the route's timeout, whichever is
+  // earlier; never negative.
   Duration TimeLeft() const;
 
  protected:
-  // The deadline has passed, or the caller is gone.
+  // The deadline has passed.
   virtual void OnDeadline() = 0;
-  // Gives back what the relay holds. Runs once, at the end.
+  // Releases what the relay holds. Runs once, at the end.
   virtual void Release() = 0;
 
   Instant Now() const { return this->context.hooks.now(); }
@@ -51,32 +54,33 @@
   void SendTo(const EndpointRecord& endpoint,
               const WorkOrder& order,
               http::ExchangeHooks hooks);
-  // The exchange with this endpoint broke; `sent`: after something of the
-  // request may have arrived; `nature`: of the head that came, if any.
+  // The exchange with this endpoint failed. `sent`: part of the request may
+  // have arrived; `nature`: of the received head, if any.
   void NoteLost(const EndpointRecord& endpoint, bool sent, AnswerNature nature);
-  // Endpoints ended under the request, here or at peers, so that it is sent to
-  // none. Looked at before each sending: peers tell at any time.
+  // Whether the request must not be sent to any endpoint, because endpoints
+  // ended while they ran it, here or at peers. Must be checked before each
+  // send, since peers report at any time.
   bool Quarantined() const;
-  // Its quarantine began, or ended.
+  // Stores that the quarantine of the request began or ended.
   void StoreQuarantine() const;
-  // Ends the exchange under way; its hooks stay silent.
+  // Cancels the exchange under way; none of its hooks runs after that.
   void StopExchange();
   void ForgetExchange() { this->exchange = 0; }
 
-  // Rings once; a later call replaces an earlier one.
+  // Fires once; a later call replaces an earlier one.
   void SetPhaseTimer(Duration after, std::function<void()> on_timeout);
   void CancelPhaseTimer();
 
   void Finish(RelayEnd end, ResultCode code, int status);
-  // Passes an endpoint's whole answer on, and ends.
+  // Forwards an endpoint's whole answer, and ends the relay.
   void ForwardAnswer(RelayEnd end,
                      int status,
                      const http::Headers& headers,
                      std::string body);
-  // The headers of an endpoint's answer that its caller gets.
+  // The headers of an endpoint's answer that are forwarded to the caller.
   http::Headers CallerHeaders(const http::Headers& headers) const;
 
-  // A line of the log about this request.
+  // Writes a log entry about this request.
   void Log(log::Level level,
            std::string_view event,
            const EndpointId& endpoint,
--- a/src/gateway/internal/relay_context.h
+++ b/src/gateway/internal/relay_context.h
@@ -23,15 +23,15 @@
 
 namespace acacialug::gateway {
 
-// What belongs to one service in one process.
+// The state of one service in one process.
 struct ServiceState {
   AdmissionQueue queue;
   RepeatBudget budget;
   forecast::ServiceForecast forecast;
-  forecast::ForecastDigest forecast_logged{};  // in the last line of the log
+  forecast::ForecastDigest forecast_logged{};  // in the last log entry
 };
 
-// What all relays of a core share.
+// The state and hooks that all relays of a core share.
 struct RelayContext {
   const GatewayHooks& hooks;
   const EndpointDialect& dialect;
@@ -44,23 +44,25 @@
   TimerQueue& timers;
   retry::CrashLedger& crashes;
   RandomSource& random;
-  // Processes that share the repeat budget, this one included.
+  // The number of processes that share the repeat budget, including this
+  // process.
   std::function<std::size_t()> processes;
-  // Answers tell callers to use another connection next time.
+  // Whether answers close their connections, so that callers use another
+  // connection for the next request.
   std::function<bool()> closing;
-  // A generation found no place, or lost it, with nothing under way.
+  // A generation found no placement or lost it, and nothing of it is under way.
   std::function<void(class StreamRelay& relay)> on_unplaced;
-  // Decode memory was given back: somebody who waits may have it.
+  // Capacity was released, which a waiting generation may take.
   std::function<void(const ServiceName& service)> on_capacity_freed;
 };
 
-// One request on its way.
+// One request that the gateway handles.
 struct RelayJob {
   WorkRequest request;
   http::ResponderPtr responder;
   retry::RequestKey key;
-  std::uint32_t attempt = 0;  // no other attempt's, at any process
-  // Keeps the configuration that the request came under.
+  std::uint32_t attempt = 0;  // unique among the attempts at all processes
+  // Keeps the configuration that the request arrived under.
   std::shared_ptr<const RouteTable> routes;
   const Route* route = nullptr;
   ServiceName service;
@@ -68,12 +70,12 @@
   ServiceState* state = nullptr;
   const Customer* customer = nullptr;  // null: none
   std::uint32_t priority = 0;          // 0 is served first
-  double quota_taken = 0;              // of the customer's
+  double quota_taken = 0;              // from the customer's quota
   Instant arrived;
-  // Less time than others on the route give: some of it was spent on earlier
-  // tries, or the caller is less patient.
+  // How much shorter the deadline is than the longest on the route: earlier
+  // attempts used up part of it, or the caller allows less time.
   Duration spent{};
-  // So much less that it must have been refused before.
+  // `spent` is so large that the request must have been refused before.
   bool is_retry = false;
 };
 
--- a/src/gateway/internal/reservation_request.cc
+++ b/src/gateway/internal/reservation_request.cc
@@ -5,26 +5,28 @@
 namespace acacialug::gateway {
 namespace {
 
-// A reservation outlives the prefill that it waits for by this much; endpoints
-// grant two seconds at most.
-constexpr Duration kSlack = 400ms;
-constexpr Duration kLongest = 2s;
-// An endpoint grants or refuses in a round trip of some milliseconds.
-constexpr Duration kPatience = 250ms;
-// An endpoint that refuses below this fill may do so for another reason.
-constexpr double kFarFromFull = 0.5;
+// A reservation lasts for twice the expected time of the prefill that it waits
+// for, plus this slack; endpoints grant two seconds at most.
+constexpr Duration kLifetimeSlack = 400ms;
+constexpr Duration kMaxLifetime = 2s;
+// An endpoint grants or refuses within a round trip of a few milliseconds.
+constexpr Duration kResponseTimeout = 250ms;
+// Share of decode memory below which an endpoint may refuse for another reason
+// than a lack of memory.
+constexpr double kUnexpectedRefusalFill = 0.5;
 
 }  // namespace
 
 ReservationRequest::ReservationRequest(RelayContext& relay_context,
-                                       StreamPlacement::Placement asked)
-    : context(relay_context), requested_placement(std::move(asked)) {}
+                                       StreamPlacement::Placement requested)
+    : context(relay_context), requested_placement(std::move(requested)) {}
 
 void ReservationRequest::Begin(Done on_done) {
   this->done = std::move(on_done);
   this->begun_at = this->Now();
   const Duration lifetime =
-      std::min(kLongest, 2 * this->requested_placement.prefill_time + kSlack);
+      std::min(kMaxLifetime,
+               2 * this->requested_placement.prefill_time + kLifetimeSlack);
   auto self = this->shared_from_this();
   auto answered = std::make_shared<int>(0);
   this->exchange = this->context.hooks.send(
@@ -40,7 +42,7 @@
            },
        .on_error = [self](const Error&, bool sent) { self->OnLost(sent); }});
   this->timer = this->context.timers.SetResponseTimer(
-      this->begun_at, kPatience, [self] { self->OnResponseTimeout(); });
+      this->begun_at, kResponseTimeout, [self] { self->OnResponseTimeout(); });
 }
 
 void ReservationRequest::Cancel() {
@@ -59,7 +61,7 @@
   if (name) {
     this->context.health.NoteCapacity(id);
     this->End(ReservationAnswer::kGranted, *name);
-  } else if (this->requested_placement.decode_fill < kFarFromFull) {
+  } else if (this->requested_placement.decode_fill < kUnexpectedRefusalFill) {
     this->context.health.NoteUnexpectedRefusal(
         id, this->context.load_table.OldestReportAge(this->Now()), this->Now());
     this->End(ReservationAnswer::kUnexpectedRefusal);
--- a/src/gateway/internal/reservation_request.h
+++ b/src/gateway/internal/reservation_request.h
@@ -12,12 +12,12 @@
 
 namespace acacialug::gateway {
 
-// What a decode endpoint said to a request for memory.
+// The result of a request for memory at a decode endpoint.
 enum class ReservationAnswer {
   kGranted,
   kFull,
-  kUnexpectedRefusal,  // though it cannot be full: it leaves, or changes its
-                       // role
+  // The endpoint cannot be full: it leaves, or changes its role.
+  kUnexpectedRefusal,
   kLost,
   kTimedOut,
 };
@@ -28,22 +28,24 @@
      {ReservationAnswer::kLost, "lost"},
      {ReservationAnswer::kTimedOut, "silent"}}};
 
-// Asks one decode endpoint to set memory aside, and notes what its answer tells
-// of it. Lives on the core's thread; not thread safe.
+// Requests a reservation of memory from one decode endpoint, and records what
+// the answer shows about the endpoint's health. Runs on the core's thread; not
+// thread safe.
 class ReservationRequest
     : public std::enable_shared_from_this<ReservationRequest> {
  public:
-  // `name` is the reservation's; empty unless granted.
+  // `name` identifies the reservation; empty unless granted.
   using Done = std::function<void(ReservationAnswer answer, std::string name)>;
 
   // `relay_context` outlives this object. Precondition: the dialect has
   // write_reserve.
   ReservationRequest(RelayContext& relay_context,
-                     StreamPlacement::Placement asked);
+                     StreamPlacement::Placement requested);
 
-  // Call it once. `on_done` runs once, unless Cancel comes first.
+  // Must be called once. `on_done` runs once, unless Cancel is called first.
   void Begin(Done on_done);
-  // What is granted later lapses at the endpoint. Safe to repeat.
+  // A reservation that is granted after this lapses at the endpoint. May be
+  // called repeatedly.
   void Cancel();
 
   const StreamPlacement::Placement& placement() const {
--- a/src/gateway/internal/role_orders.cc
+++ b/src/gateway/internal/role_orders.cc
@@ -7,10 +7,10 @@
 namespace acacialug::gateway {
 namespace {
 
-constexpr Duration kInterval = 500ms;
-// From the decision to switch an endpoint to the order: peers hear meanwhile
-// that it takes no work. Else each of them finds out by a refusal, and those
-// use up the repeat budget.
+constexpr Duration kPollInterval = 500ms;
+// Delay from the decision to switch an endpoint to the order. Meanwhile peers
+// receive the report that the endpoint takes no work; otherwise each of them
+// would find out by a refusal, and the refusals use up the repeat budget.
 constexpr Duration kPauseSpreadTime = 200ms;
 
 }  // namespace
@@ -19,7 +19,8 @@
     : options(std::move(order_options)), context(relay_context) {}
 
 void RoleOrders::Start() {
-  this->context.timers.Set(this->Now() + kInterval, [this] { this->Poll(); });
+  this->context.timers.Set(this->Now() + kPollInterval,
+                           [this] { this->Poll(); });
 }
 
 void RoleOrders::Poll() {
@@ -54,7 +55,8 @@
   this->PauseSwitching();
 }
 
-// Here; the peers hear of it by the next heartbeat.
+// Pauses the endpoints at this process; the next heartbeat reports the pauses
+// to the peers.
 void RoleOrders::PauseSwitching() {
   for (const EndpointPause& pause : this->Pauses()) {
     this->context.health.NotePause(pause.endpoint_key,
@@ -128,7 +130,7 @@
 
 void RoleOrders::SendOrders(std::uint64_t fencing_token) {
   for (const PlannedChange& planned : this->Plan()) {
-    // Also if the order is lost: it may be carried out late.
+    // Recorded even if the order is lost, since it may be carried out late.
     planned.planner->NoteOrdered(planned.change, planned.engine, this->Now());
     this->context.timers.Set(this->Now() + kPauseSpreadTime,
                              [this, change = planned.change, fencing_token] {
--- a/src/gateway/internal/role_orders.h
+++ b/src/gateway/internal/role_orders.h
@@ -13,38 +13,39 @@
 
 namespace acacialug::gateway {
 
-// Changes the roles of endpoints: looks at the plans of all services each half
-// second, and, if it is this process's turn, orders what they ask for. Not
-// thread safe.
+// Changes the roles of endpoints: evaluates the plans of all services every
+// half second and, if this process is granted the leader term, sends the orders
+// that the plans require. Not thread safe.
 class RoleOrders {
  public:
   struct Options {
-    std::string holder;  // this process, in its orders
-    // Null: no configuration is known.
+    std::string holder;  // id of this process in its orders
+    // Returns null while no configuration is known.
     std::function<const RouteTable*()> routes;
     std::function<const forecast::ServiceForecast&(const ServiceName& service)>
         forecast;
   };
 
-  // `context` outlives this object.
+  // `relay_context` outlives this object.
   RoleOrders(Options order_options, RelayContext& relay_context);
 
-  // Begins to look. Call it once.
+  // Starts to poll the plans. Must be called once.
   void Start();
 
-  // As of RolePlanner, by service.
+  // As RolePlanner::NoteRequest, by service.
   void NoteRequest(const ServiceName& service, const GenerationSize& size);
 
-  // Of requests at this process, for its peers; and of those at a peer.
+  // The sizes of requests at this process, to be reported to its peers, and
+  // those that a peer reported.
   forecast::RequestSizes SizesOf(const ServiceName& service) const;
   void NotePeer(const ServiceName& service,
                 const std::string& peer,
                 const forecast::RequestSizes& sizes);
 
-  // As of LeaderTerm.
+  // As LeaderTerm::SetFirst.
   void SetFirst(bool first);
 
-  // Endpoints that change their role now, by this process's orders.
+  // Endpoints whose roles are being changed by orders of this process.
   std::vector<EndpointPause> Pauses() const;
 
  private:
@@ -56,7 +57,7 @@
 
   Instant Now() const { return this->context.hooks.now(); }
   void Poll();
-  // Visits the planners of services that have an engine; none while no
+  // Visits the planners of services that have an engine; visits none while no
   // configuration is known.
   void ForEachPlanner(const std::function<void(const ServiceName& service,
                                                const EngineTraits& engine,
--- a/src/gateway/internal/stream_relay.cc
+++ b/src/gateway/internal/stream_relay.cc
@@ -8,17 +8,18 @@
 namespace acacialug::gateway {
 namespace {
 
-// A prefill is given up when it takes three times what is expected and this
-// much more; sound ones keep well within twice.
+// A prefill is abandoned after this many times its expected time plus
+// kPrefillSlack; healthy endpoints stay well within twice the expected time.
 constexpr double kPrefillTimeoutFactor = 3.0;
 constexpr Duration kPrefillSlack = 350ms;
-// Prefills of one request. The first is free of the repeat budget.
+// Maximum number of prefills of one request. The first does not count against
+// the repeat budget.
 constexpr std::uint32_t kMaxPrefills = 3;
-// Endpoints that are full one after the other before a pause, and that are
-// asked at all: one that cannot be reached, or leaves, says nothing of the
-// others' memory.
-constexpr std::uint32_t kMaxFull = 3;
-constexpr std::size_t kMaxAsked = 8;
+// A round of reservation requests ends, with a pause, after this many endpoints
+// that are full or this many endpoints in total. An endpoint that cannot be
+// reached, or leaves, says nothing about the others' memory.
+constexpr std::uint32_t kMaxFullEndpoints = 3;
+constexpr std::size_t kMaxRequestedEndpoints = 8;
 
 }  // namespace
 
@@ -83,8 +84,8 @@
   this->CancelReservationRequest();
   this->reservation_request =
       std::make_shared<ReservationRequest>(this->context, at);
-  // Not shared: what is asked is this relay's own, and would keep it for ever
-  // where no answer is waited for any more.
+  // A weak pointer: this relay owns the reservation request, and a shared
+  // pointer in it would keep the relay alive forever once no answer is awaited.
   this->reservation_request->Begin(
       [weak = this->weak_from_this(), done = std::move(on_done)](
           ReservationAnswer answer, std::string name) {
@@ -95,8 +96,8 @@
 }
 
 void StreamRelay::CancelReservationRequest() {
-  if (const auto asked = std::exchange(this->reservation_request, nullptr)) {
-    asked->Cancel();
+  if (const auto request = std::exchange(this->reservation_request, nullptr)) {
+    request->Cancel();
   }
 }
 
@@ -112,12 +113,13 @@
                            });
 }
 
-// Nothing was computed yet, so that asking another costs a round trip only.
+// Nothing was computed yet, so that a request to another endpoint costs only a
+// round trip.
 void StreamRelay::OnReserveRefused(ReservationAnswer answer) {
-  const bool ask_on = this->NoteRefused(answer);
+  const bool try_next = this->NoteRefused(answer);
   this->ReleasePrefill();
   this->ReleaseDecode();
-  if (ask_on && this->TryPlace()) {
+  if (try_next && this->TryPlace()) {
     return;
   }
   this->EndRound();
@@ -134,7 +136,8 @@
              {"after_ms", this->reservation_request->Age()}});
   this->full.push_back(refused.decode.id);
   this->full_answers += answer == ReservationAnswer::kFull ? 1 : 0;
-  return this->full_answers < kMaxFull && this->full.size() < kMaxAsked;
+  return this->full_answers < kMaxFullEndpoints &&
+         this->full.size() < kMaxRequestedEndpoints;
 }
 
 void StreamRelay::EndRound() {
@@ -208,7 +211,8 @@
   }
 }
 
-// Its memory would be held at the prefill endpoint until it lapses.
+// An export that is not released holds memory at the prefill endpoint until it
+// lapses.
 void StreamRelay::ReleaseExport() {
   if (!this->prefilled) {
     return;
@@ -286,7 +290,7 @@
     this->prefilled = this->context.dialect.read_export(body);
   }
   if (!this->prefilled) {
-    // One that prefills has no memory to run out of: a refusal means that it
+    // A prefill endpoint has no memory to run out of: a refusal means that it
     // changes its role, which takes seconds.
     if (answer == AnswerNature::kNotRun || answer == AnswerNature::kMisplaced) {
       this->context.health.NoteTimeout(id, this->Now());
@@ -297,7 +301,8 @@
     return;
   }
   this->context.health.NoteSuccess(id, this->Now());
-  // A time that this process stood still for tells nothing of an engine.
+  // A duration that includes a stall of this process is no evidence of the
+  // engine's speed.
   if (!this->context.timers.StalledBetween(this->step_at, this->Now())) {
     this->LearnFromPrefill(this->Now() - this->step_at);
   }
@@ -335,7 +340,7 @@
     this->PlaceAgain();
     return;
   }
-  // The decode endpoint can compute the prompt itself, at half the speed.
+  // The decode endpoint can compute the prompt locally, at half the speed.
   this->placement->prefill.reset();
   this->CountLocalPrefill(this->Size().prompt_tokens);
   this->StartDecode(WorkStep::kWhole);
@@ -356,7 +361,7 @@
   --this->runs;
   this->tried.push_back(this->placement->decode.id);
   if (this->prefilled) {
-    // Either end may be why it could not be fetched.
+    // Either endpoint may be the reason that the export could not be fetched.
     this->tried.push_back(this->placement->prefill->id);
   }
   this->ReleaseDecode();
@@ -416,13 +421,13 @@
     this->Refuse(IsNotRun(code) ? ResultCode::kOutcomeUnknown : code, {});
     return;
   }
-  const Duration back =
+  const Duration retry_after =
       code == ResultCode::kQuarantined
           ? this->context.crashes.TimeLeft(this->work.key, this->Now())
           : this->work.state->queue.NextRetryDelay(
                 this->kv_tokens(), this->TimeLeft(), this->Now(),
                 this->context.random);
-  this->Refuse(IsNotRun(code) ? code : ResultCode::kNoEndpoint, back);
+  this->Refuse(IsNotRun(code) ? code : ResultCode::kNoEndpoint, retry_after);
 }
 
 void StreamRelay::OnDeadline() {
@@ -432,8 +437,8 @@
 
 void StreamRelay::Release() {
   this->CancelReservationRequest();
-  // An export that nobody asked for is freed; one that a decode endpoint was
-  // told of is that endpoint's.
+  // An export that no decode endpoint was sent is released here; a decode
+  // endpoint that was sent an export's name is responsible for that export.
   if (this->prefilled && !this->decode_open) {
     this->ReleaseExport();
   }
--- a/src/gateway/internal/stream_relay.h
+++ b/src/gateway/internal/stream_relay.h
@@ -11,11 +11,11 @@
 
 namespace acacialug::gateway {
 
-// A generation: prefilled at one endpoint, decoded at another, its events
-// passed on as they come. Nothing runs before the decode endpoint is asked, so
-// that all that fails before is refused as not run. A stream that breaks off is
-// continued at another endpoint if its route allows it, and is cut off, so that
-// it does not look whole, if not.
+// A generation: prefilled at one endpoint, decoded at another, with its events
+// forwarded as they arrive. Nothing counts as run before the decode endpoint is
+// sent the request, so that any failure before that is refused as not run. A
+// stream that breaks off is continued at another endpoint if its route allows
+// it; otherwise it is aborted, so that it does not look complete.
 class StreamRelay : public Relay {
  public:
   using Relay::Relay;
@@ -24,15 +24,15 @@
 
   std::uint64_t kv_tokens() const;
 
-  // It comes back after a refusal, and its answer is late whenever it begins.
+  // A retry after a refusal, whose answer is late whenever it begins.
   bool late() const { return this->work.is_retry; }
 
-  // Something was computed or sent for it.
+  // Whether anything was computed or sent for the generation.
   bool resumed() const {
     return this->outcome.prefills > 0 || this->outcome.sends > 0;
   }
 
-  // It has waited for another place for as long as it may.
+  // Ends a generation whose wait for another placement has reached its maximum.
   void GiveUpWaiting() { this->GiveUp(ResultCode::kNoDecodeMemory); }
 
  protected:
@@ -40,42 +40,44 @@
   void Release() override;
 
  private:
-  // Requests of one generation to decode endpoints.
+  // Maximum number of requests of one generation to decode endpoints.
   static constexpr std::uint32_t kMaxSends = 4;
 
   std::shared_ptr<StreamRelay> Self();
   GenerationSize Size() const;
 
   void Take(const StreamPlacement::Placement& chosen);
-  // How much of a prompt its decode endpoint has to compute yet: others are
-  // held up meanwhile.
+  // Sets the number of prompt tokens that the decode endpoint still has to
+  // compute, which delays other streams there meanwhile.
   void CountLocalPrefill(std::uint64_t tokens);
   void ReleasePrefill();
   void ReleaseDecode();
   void ReleaseExport();
   void ReleaseReservation();
-  // An empty name is none.
+  // An empty name means no reservation.
   void ReleaseReservationAt(const EndpointRecord& decode,
                             const std::string& name);
 
-  // Sets decode memory aside before anything is computed for it.
+  // Reserves decode memory before anything is computed for the generation.
   void Reserve();
   void OnReserveRefused(ReservationAnswer answer);
   void AfterReserve();
-  // Empty: no endpoint has room but those avoided, tried, or found full.
+  // Empty when no endpoint has capacity, other than those that are avoided,
+  // were tried, or were found full.
   std::optional<StreamPlacement::Placement> FindPlacement(
       std::vector<EndpointId> avoided);
-  // `on_done` runs while this relay lives.
+  // `on_done` runs only while this relay exists.
   void RequestReservation(const StreamPlacement::Placement& at,
                           ReservationRequest::Done on_done);
   void CancelReservationRequest();
-  // The endpoint asked last refused; false: enough were asked in this round.
+  // Records that the endpoint of the latest request refused. Returns false when
+  // this round may try no more endpoints.
   bool NoteRefused(ReservationAnswer answer);
   void EndRound();
   void StartPrefill();
   void OnPrefillComplete(AnswerNature nature, const std::string& body);
   void LearnFromPrefill(Duration took);
-  // The prefill came to nothing; the request has not run.
+  // The prefill failed; the request has not run.
   void AfterPrefill(std::string_view why);
 
   void StartDecode(WorkStep step);
@@ -83,62 +85,63 @@
   void OnDecodeData(std::string_view data);
   bool DeliverEvent(const StreamEvent& event);
   void NoteProgress();
-  // What the time of this event teaches of the service's engines.
+  // Updates the forecast of the service's engines by the time of this event.
   void LearnFromEvent();
-  // Silence after which it is taken as lost.
+  // Time without data after which the stream is considered lost.
   Duration ResponseTimeout() const;
   void OnDecodeEnd();
   void OnDecodeLost(const Error& error, bool sent);
   void StartResponseTimer();
   void OnResponseTimeout();
-  // Its route and the budget of repeats allow it to go on elsewhere.
+  // Whether the route and the repeat budget allow a migration.
   bool MayMigrate();
-  // Asks other endpoints for memory while the stream stays where it is.
+  // Requests memory at other endpoints while the stream stays at its own.
   void RequestElsewhere();
   void OnElsewhereAnswer(ReservationAnswer answer, const std::string& name);
   void EndMigration();
-  // Stops the stream where it is, and goes on where memory was granted.
+  // Stops the stream at its endpoint, and continues it where memory was
+  // granted.
   void MigrateTo(const StreamPlacement::Placement& granted,
                  const std::string& name);
 
-  // Ends it if its request is quarantined; true: it is over.
+  // Ends the relay if its request is quarantined, and returns whether it did.
   bool EndIfQuarantined();
   void AfterNotRun();
   void AfterRun(ResultCode code);
-  // Takes another decode, and another prefill if there was one, from the
-  // budget: both arrive at endpoints beyond the first time.
+  // Another decode and, if there was one, another prefill count against the
+  // repeat budget: both arrive at endpoints beyond the first time.
   std::uint32_t RepeatsOfMigration() const;
   bool TakeRepeat();
-  // Takes another place, now or when there is one.
+  // Places the generation again, now or when capacity is free.
   void PlaceAgain();
   void GiveUp(ResultCode code);
 
   std::optional<StreamPlacement::Placement> placement;
   std::optional<PrefillExport> prefilled;
   std::string reservation;  // at the decode endpoint, not used yet
-  std::shared_ptr<ReservationRequest>
-      reservation_request;  // the latest; may be over
+  // The latest; may have ended.
+  std::shared_ptr<ReservationRequest> reservation_request;
   bool was_prefilled = false;
   std::vector<EndpointId> full;    // refused a reservation in this round
   std::uint32_t full_answers = 0;  // in this round
   Instant placed_at;
   Instant step_at;
-  bool prefill_held = false;  // its load is in the book
+  bool prefill_held = false;  // its load is in the load table
   bool decode_held = false;
   EventSplitter splitter;
   AnswerNature nature = AnswerNature::kUnproven;
   int status = 0;
   http::Headers headers;
   std::string failure_body;
-  bool attempt_reserved = false;  // the attempt had memory set aside for it
-  bool decode_open = false;       // asked, and not over
-  bool received_since_timeout =
-      false;           // of the attempt that was taken for silent
-  bool begun = false;  // the caller has the head
+  bool attempt_reserved = false;  // the attempt had a reservation
+  bool decode_open = false;       // the request was sent and has not ended
+  // Data of the attempt arrived after its response timeout.
+  bool received_since_timeout = false;
+  bool begun = false;  // the head was sent to the caller
   std::optional<std::uint64_t> last_event;
-  Instant event_at{};  // when it came
-  bool prefill_at_last_event =
-      false;                         // a prompt was computed there at that time
+  Instant event_at{};  // when it arrived
+  // The decode endpoint computed a prompt at that time.
+  bool prefill_at_last_event = false;
   std::uint32_t attempt_events = 0;  // of the attempt under way
   std::uint32_t runs = 0;  // attempts without a proof that they did not run
 };
--- a/src/gateway/internal/stream_relay_decode.cc
+++ b/src/gateway/internal/stream_relay_decode.cc
@@ -4,22 +4,21 @@
 #include "framework/global/hex_text.h"
 #include "gateway/internal/stream_relay.h"
 
-// The second half of a generation's way: its decode endpoint, and its events.
+// The second half of a generation: its decode and its events.
 namespace acacialug::gateway {
 namespace {
 
 constexpr int kFirstServerError = 500;
-// Peers are told of a stream's growth in steps of so many tokens.
-constexpr std::uint64_t kCountedStep = 64;
-// A decode endpoint that is silent for this many times what it needs to compute
-// a preempted stream's memory again and make an event has lost the stream.
+// A stream's growth is counted, and reported to peers, in steps of this size.
+constexpr std::uint64_t kCountedStepTokens = 64;
+// A decode endpoint has lost a stream when it sends nothing for this many times
+// what it needs to compute a preempted stream's memory again and make an event.
 constexpr double kResponseTimeoutFactor = 3.0;
-// And no sooner than after this: half of the shortest gap after which callers
-// give a stream up.
+// Half of the shortest gap after which callers abandon a stream.
 constexpr Duration kMinResponseTimeout = 1s;
-// Callers bear a gap of this many objectives; half of it leaves time for
-// another endpoint to go on.
-constexpr double kBorneObjectives = 4.0;
+// Callers tolerate a gap of this many objectives; half of it leaves time for
+// another endpoint to continue the stream.
+constexpr double kMaxGapObjectives = 4.0;
 
 }  // namespace
 
@@ -80,11 +79,11 @@
                                  this->work.traits->engine->tokens_per_event;
   const Duration needed = forecast.LocalPrefillTime(held) +
                           forecast.FirstEvent() + forecast.Pause();
-  const Duration borne =
-      FromSeconds(kBorneObjectives / 2 * Seconds(this->work.route->objective));
-  return std::max(
-      kMinResponseTimeout,
-      std::min(borne, FromSeconds(kResponseTimeoutFactor * Seconds(needed))));
+  const Duration max_wait =
+      FromSeconds(kMaxGapObjectives / 2 * Seconds(this->work.route->objective));
+  return std::max(kMinResponseTimeout,
+                  std::min(max_wait, FromSeconds(kResponseTimeoutFactor *
+                                                 Seconds(needed))));
 }
 
 void StreamRelay::OnDecodeHead(int answered, const http::Headers& head) {
@@ -93,7 +92,7 @@
     this->headers = head;
   }
   if (this->nature == AnswerNature::kSuccess) {
-    this->prefilled.reset();  // fetched
+    this->prefilled.reset();  // The decode endpoint has fetched it.
   }
 }
 
@@ -119,40 +118,41 @@
 void StreamRelay::LearnFromEvent() {
   forecast::ServiceForecast& forecast = this->work.state->forecast;
   const Instant now = this->Now();
-  const bool prompt_now =
+  const bool prefill_now =
       this->context.load_table.TotalAt(this->placement->decode.id)
           .prefill_tokens > 0;
-  // An event that lay unread while this process stood still would read as a
-  // slow engine, here and at the peers that are told.
-  const bool own_time = this->context.timers.StalledBetween(
+  // An event that lay unread during a stall of this process would look like a
+  // slow engine, here and at the peers that receive the forecast.
+  const bool stalled = this->context.timers.StalledBetween(
       this->attempt_events == 0 ? this->step_at : this->event_at, now);
   if (this->decode_held && this->placement->decode_load.prefill_tokens > 0) {
-    if (!this->last_event && !own_time) {
+    if (!this->last_event && !stalled) {
       forecast.NoteLocalPrefill(this->Size().prompt_tokens,
                                 now - this->step_at);
     }
     this->CountLocalPrefill(0);
-  } else if (own_time) {
-    // Teaches nothing.
+  } else if (stalled) {
+    // The time includes a process stall and is no evidence of the engine's
+    // speed.
   } else if (this->attempt_events == 0) {
     forecast.NoteFirstEvent(now - this->step_at);
   } else {
     forecast.NotePause(now - this->event_at,
                        this->work.traits->engine->tokens_per_event,
-                       prompt_now && this->prefill_at_last_event);
+                       prefill_now && this->prefill_at_last_event);
   }
   if (this->attempt_events == 0) {
     this->context.health.NoteStarted(this->placement->decode.id);
   }
-  this->prefill_at_last_event = prompt_now;
+  this->prefill_at_last_event = prefill_now;
   ++this->attempt_events;
 }
 
-// False: the attempt is over.
+// Returns false when the attempt has ended.
 bool StreamRelay::DeliverEvent(const StreamEvent& event) {
   if (event.id && this->last_event) {
     if (*event.id <= *this->last_event) {
-      return true;  // the caller has it
+      return true;  // The caller has received it before.
     }
     if (*event.id != *this->last_event + 1) {
       this->StopExchange();
@@ -182,14 +182,14 @@
   return !this->finished();
 }
 
-// A stream that is longer than expected takes more than it was counted with.
+// Counts the additional memory of a stream that is longer than expected.
 void StreamRelay::NoteProgress() {
   const std::uint64_t made = std::uint64_t{this->outcome.events} *
                              this->work.traits->engine->tokens_per_event;
   const std::uint64_t taken =
       this->context.streams.KvTokens(this->Size(), made);
   EndpointLoad& counted = this->placement->decode_load;
-  if (!this->decode_held || taken < counted.kv_tokens + kCountedStep) {
+  if (!this->decode_held || taken < counted.kv_tokens + kCountedStepTokens) {
     return;
   }
   const EndpointLoad more{.kv_tokens = taken - counted.kv_tokens};
@@ -300,9 +300,9 @@
   }
 }
 
-// A stream that was stopped first, and then found the budget of repeats used up
-// or no room, was cut off; where it was it might have gone on, late, but whole.
-// So memory is had elsewhere before anything is stopped.
+// Memory is reserved elsewhere before anything is stopped. A stream that is
+// stopped first, and then finds the repeat budget used up or no free capacity,
+// is cut off; at its endpoint it might have continued, late but complete.
 void StreamRelay::RequestElsewhere() {
   const auto chosen = this->FindPlacement({this->placement->decode.id});
   if (!chosen) {
@@ -322,15 +322,15 @@
 
 void StreamRelay::OnElsewhereAnswer(ReservationAnswer answer,
                                     const std::string& name) {
-  const StreamPlacement::Placement asked =
+  const StreamPlacement::Placement requested =
       this->reservation_request->placement();
   const bool granted = answer == ReservationAnswer::kGranted;
   if (this->received_since_timeout) {
-    // OnDecodeData watches on.
-    this->ReleaseReservationAt(asked.decode, name);
+    // OnDecodeData has restarted the response timer.
+    this->ReleaseReservationAt(requested.decode, name);
     this->EndMigration();
   } else if (granted) {
-    this->MigrateTo(asked, name);
+    this->MigrateTo(requested, name);
   } else if (this->NoteRefused(answer)) {
     this->RequestElsewhere();
   } else {
@@ -339,8 +339,8 @@
   }
 }
 
-// An answer that came after the attempt's own end would start a second one
-// beside the one that waits for a place by then.
+// Without this, an answer that arrives after the attempt's own end would start
+// a second attempt beside the one that waits for a placement by then.
 void StreamRelay::EndMigration() {
   this->CancelReservationRequest();
   this->EndRound();
--- a/src/gateway/internal/timer_queue.cc
+++ b/src/gateway/internal/timer_queue.cc
@@ -44,8 +44,8 @@
     this->resumed_at = now;
     this->ShiftResponseTimers(stall, now);
   }
-  // Once in a row: a process that is late again and again still has to end what
-  // has passed its deadline.
+  // Defers only once in a row: a process that is late at every call still has
+  // to end the requests that have passed their deadlines.
   this->deferred = late && !this->deferred;
   if (this->deferred) {
     return stall;
@@ -60,9 +60,9 @@
   return Duration::zero();
 }
 
-// Each look at the sockets counts as kStallThreshold of listening, and no
-// silence moves by more than it has lasted: one that began behind the
-// standstill stays.
+// Each read of the sockets counts as kStallThreshold of waiting time, and no
+// response timer is postponed by more than the time since it was set: a timer
+// that was set after the stall keeps its time.
 void TimerQueue::ShiftResponseTimers(Duration stall, Instant now) {
   std::vector<std::pair<Instant, TimerId>> response_timers;
   for (const auto& [key, timer] : this->timers) {
@@ -87,7 +87,7 @@
 }
 
 bool TimerQueue::Late(Instant now) const {
-  // Where it rang nothing it was to be called again at once.
+  // After a call that fired nothing, the next call is due at once.
   return !this->timers.empty() &&
          now - (this->deferred ? this->fired_at : this->next()) >
              kStallThreshold;
--- a/src/gateway/internal/timer_queue.h
+++ b/src/gateway/internal/timer_queue.h
@@ -13,52 +13,57 @@
 
 using TimerId = std::uint64_t;
 
-// Calls that are due at a time, for an owner that has one timer for all. Not
-// thread safe.
+// Calls that are due at given times, for an owner that has a single timer for
+// all of them. Not thread safe.
 //
-// Knows when the process itself stood still, by a look at it that comes late. A
-// gateway that stood still for two seconds and rang first and read later
-// stopped streams that their endpoints had long ended whole.
+// Detects a stall of the process itself by a FireDue call that comes late. A
+// gateway that stalled for two seconds, and fired timers before it read what
+// had arrived, would stop streams that their endpoints had completed long
+// before.
 class TimerQueue {
  public:
-  // A look that comes so long after an alarm was due tells of a standstill, of
-  // which so much counts as silence: a process that is late at each look still
-  // judges, after as many looks as the silence has times this. The shortest
-  // silence that anybody is judged by is 250 ms.
+  // A FireDue call that comes later than this after a timer was due indicates a
+  // process stall, and only this part of the stall counts towards response
+  // timeouts. A process that is late at each call thus still times out a peer
+  // or an endpoint, after timeout / kStallThreshold calls. The shortest
+  // response timeout in use is 250 ms.
   static constexpr Duration kStallThreshold = 100ms;
 
-  // `on_earlier` hears of each call that is due before all others.
+  // `on_earlier` runs for each added timer that is due before all others.
   explicit TimerQueue(std::function<void(Instant)> on_earlier)
       : earlier_hook(std::move(on_earlier)) {}
 
-  // Due at its time, whoever stood still: a deadline.
+  // Sets a deadline, which a process stall does not postpone.
   TimerId Set(Instant at, std::function<void()> call);
-  // Judges somebody who is not heard for `timeout` from `now` on. A standstill
-  // of this process moves it, since nobody could be heard.
+  // Fires when a peer or an endpoint has sent nothing for `timeout` from `now`
+  // on; the owner cancels the timer on an answer. A stall of this process
+  // postpones it, since nothing could be received meanwhile.
   TimerId SetResponseTimer(Instant now,
                            Duration timeout,
                            std::function<void()> call);
-  // Unknown ids (0, or one that has rung) are ignored.
+  // Ignores unknown ids (0, or the id of a timer that has fired).
   void Cancel(TimerId timer);
 
-  // Rings all that are due, also those that are set meanwhile and are due.
+  // Fires all timers that are due, including those that are set meanwhile and
+  // are due.
   //
-  // After a standstill it rings nothing, moves the silences that began before
-  // its end, and returns its length (an upper bound: since the last ring). The
-  // owner reads what arrived meanwhile, and calls again: the second call rings.
+  // After a stall it fires nothing, postpones the response timers that were set
+  // before the end of the stall, and returns the length of the stall (an upper
+  // bound: the time since the last call). The owner reads what arrived
+  // meanwhile and calls again; the second call fires the timers.
   Duration FireDue(Instant now);
 
-  // Whether this process stood still at a time between the two: what is
-  // measured from one to the other tells of this process.
+  // Whether this process stalled at some time between the two: a duration that
+  // is measured from `since` to `now` then includes a delay of this process.
   bool StalledBetween(Instant since, Instant now) const;
 
-  // kNever: nothing is set.
+  // kNever when no timer is set.
   Instant next() const;
 
  private:
   struct Timer {
     std::function<void()> call;
-    std::optional<Instant> waiting_since;  // empty: a deadline
+    std::optional<Instant> waiting_since;  // empty for a deadline
   };
 
   TimerId Add(Instant at, Timer timer);
@@ -70,8 +75,8 @@
   std::map<TimerId, Instant> times;
   TimerId last = 0;
   Instant fired_at{};
-  Instant resumed_at{};   // from the last standstill
-  bool deferred = false;  // the last ring rang nothing
+  Instant resumed_at{};   // end of the last stall
+  bool deferred = false;  // the last FireDue fired nothing
 };
 
 }  // namespace acacialug::gateway
--- a/src/gateway/internal/waiting_streams.cc
+++ b/src/gateway/internal/waiting_streams.cc
@@ -5,10 +5,11 @@
 namespace acacialug::gateway {
 namespace {
 
-// The queues are looked at so often even without news: peers' releases are
-// heard of by their loads, which get lost.
-constexpr Duration kInterval = 40ms;
-// One that was computed for and lost its place waits so long for another.
+// Interval at which the queues are polled even if no event arrives: a peer's
+// release is known only from its load reports, which can be lost.
+constexpr Duration kPollInterval = 40ms;
+// Maximum wait of a generation that lost its placement after something was
+// computed for it.
 constexpr Duration kMaxResumeWait = 800ms;
 
 }  // namespace
@@ -33,7 +34,7 @@
   this->admitted.insert(relay.get());
   queue.Push(ticket);
   this->waiting.emplace(ticket.id, relay);
-  this->Watch();
+  this->SchedulePoll();
 }
 
 bool WaitingStreams::AnyAheadOf(const StreamRelay& relay) {
@@ -144,17 +145,18 @@
   }
 }
 
-void WaitingStreams::Watch() {
-  if (this->watch_timer != 0) {
+void WaitingStreams::SchedulePoll() {
+  if (this->poll_timer != 0) {
     return;
   }
-  this->watch_timer = this->context.timers.Set(this->Now() + kInterval, [this] {
-    this->watch_timer = 0;
-    this->PlaceAll();
-    if (!this->waiting.empty()) {
-      this->Watch();
-    }
-  });
+  this->poll_timer =
+      this->context.timers.Set(this->Now() + kPollInterval, [this] {
+        this->poll_timer = 0;
+        this->PlaceAll();
+        if (!this->waiting.empty()) {
+          this->SchedulePoll();
+        }
+      });
 }
 
 }  // namespace acacialug::gateway
--- a/src/gateway/internal/waiting_streams.h
+++ b/src/gateway/internal/waiting_streams.h
@@ -10,28 +10,31 @@
 
 namespace acacialug::gateway {
 
-// The generations that have no place: lets them wait or turns them away, and
-// places those who wait when there is room. Not thread safe.
+// The generations that have no placement: queues or refuses them, and places
+// the queued ones when capacity is free. Not thread safe.
 class WaitingStreams {
  public:
-  // `context` outlives this object.
+  // `relay_context` outlives this object.
   explicit WaitingStreams(RelayContext& relay_context)
       : context(relay_context) {}
 
-  // A generation found no place. One that was let in once stays.
+  // Queues or refuses a generation that found no placement. A generation that
+  // was admitted before is always queued.
   void Add(const std::shared_ptr<StreamRelay>& relay);
 
-  // Whether others wait that go first: who comes does not pass by those.
+  // Whether generations wait that are served before this one. A new generation
+  // does not overtake them.
   bool AnyAheadOf(const StreamRelay& relay);
 
-  // It has ended.
+  // Removes a relay that has ended.
   void Remove(const Relay& relay);
 
-  // There may be room at a service. Placed soon, and not from within the call:
-  // who frees a place may take it again.
+  // Capacity may be free at a service. Places waiting generations soon, but not
+  // from within this call: the relay that released the capacity may take it
+  // again.
   void OnCapacityFreed(const ServiceName& service);
 
-  // There may be room anywhere.
+  // Capacity may be free at any service.
   void PlaceAll();
 
   std::size_t size() const { return this->waiting.size(); }
@@ -45,13 +48,13 @@
   void PlaceSoon();
   void PlaceWaiting();
   void PlaceAt(AdmissionQueue& queue);
-  void Watch();
+  void SchedulePoll();
 
   RelayContext& context;
   std::unordered_map<TicketId, std::shared_ptr<StreamRelay>> waiting;
   std::set<const Relay*> admitted;
-  std::set<AdmissionQueue*> freed_queues;  // that may have room
-  TimerId watch_timer = 0;
+  std::set<AdmissionQueue*> freed_queues;  // of services that may have capacity
+  TimerId poll_timer = 0;
   TimerId soon_timer = 0;
   TicketId last_ticket = 0;
   bool placing = false;
