--- a/src/gateway/tests/decisions_test.cc
+++ b/src/gateway/tests/decisions_test.cc
@@ -23,7 +23,7 @@
 constexpr Instant kStart{1h};
 const EndpointId kA("a");
 const EndpointId kB("b");
-// Nothing was seen of the engines yet.
+// Without any observation of the engines.
 const forecast::ServiceForecast kForecast;
 
 EndpointRecord Record(const std::string& id,
@@ -47,8 +47,8 @@
 }
 
 const acacialug::testing::Story kRoutes(
-    "the table of routes",
-    {It("finds the longest prefix of the request's host",
+    "the route table",
+    {It("finds the longest matching prefix for the request's host",
         [] {
           auto configuration = std::make_shared<Configuration>();
           configuration->routes = {
@@ -63,7 +63,7 @@
           CPPUNIT_ASSERT(table.Find("h", "/b") == nullptr);
           CPPUNIT_ASSERT(table.Find("none", "/a/") == nullptr);
         }),
-     It("splits requests by weight, the same way everywhere", [] {
+     It("splits requests by weight, and identically in each process", [] {
        const Route route{
            .services = {{.service = ServiceName("s"), .weight = 9},
                         {.service = ServiceName("t"), .weight = 1}}};
@@ -77,8 +77,9 @@
      })});
 
 const acacialug::testing::Story kHealth(
-    "the health of endpoints",
-    {It("avoids a silent one at once, longer each time, until it answers",
+    "endpoint health",
+    {It("avoids an unresponsive endpoint at once, longer after each timeout, "
+        "until it answers",
         [] {
           EndpointHealth health;
           health.NoteTimeout(kA, kStart);
@@ -89,8 +90,8 @@
           health.NoteSuccess(kA, kStart);
           CPPUNIT_ASSERT(!health.Avoided(kA, kStart + 1900ms));
         }),
-     It("avoids one that fails nearly half of its work, and not one that fails "
-        "a tenth",
+     It("avoids an endpoint that fails nearly half of its work, but not an "
+        "endpoint that fails a tenth",
         [] {
           EndpointHealth health;
           bool avoided = false;
@@ -111,13 +112,13 @@
           CPPUNIT_ASSERT(!avoided);
           CPPUNIT_ASSERT(health.Avoided(kB, kStart));
         }),
-     It("believes a peer that cannot reach one, unless it has just answered "
-        "here",
+     It("accepts a peer's report of an unreachable endpoint, unless the "
+        "endpoint has just answered here",
         [] {
-          // Symptom: after a crash of a fifth of the endpoints each of 22
-          // processes tries each of them in turn, and refuses callers
-          // meanwhile. Cause: what one process found out the others did not
-          // know.
+          // Guards against 22 processes that each try every crashed endpoint in
+          // turn after a fifth of the endpoints crashed, and refuse callers
+          // meanwhile. It comes about when processes do not share which
+          // endpoints they found unreachable.
           EndpointHealth health;
           const std::uint64_t key = LoadTable::KeyOf(kA);
           health.NoteReportedUnreachable(key, 2s, kStart);
@@ -128,7 +129,8 @@
           CPPUNIT_ASSERT(!health.Avoided(kA, kStart + 900ms));
           CPPUNIT_ASSERT(health.Avoided(kA, kStart + 1100ms));
         }),
-     It("tells peers of those that it could not reach, not of lost answers",
+     It("reports to peers which endpoints were unreachable, but not lost "
+        "answers",
         [] {
           EndpointHealth health;
           health.NoteTimeout(kA, kStart);
@@ -139,7 +141,7 @@
           health.NoteAnswer(kB, kStart + 100ms);
           CPPUNIT_ASSERT(health.Unreachable(kStart + 100ms).empty());
         }),
-     It("leaves one alone for longer each time that refuses while far from "
+     It("pauses an endpoint for longer each time it refuses while far from "
         "full",
         [] {
           EndpointHealth health;
@@ -153,7 +155,7 @@
           health.NoteCapacity(kA);
           CPPUNIT_ASSERT(!health.Full(kA, kStart + 2500ms));
         }),
-     It("forgets those that were not seen for a minute",
+     It("forgets an endpoint that was not seen for a minute",
         [] {
           EndpointHealth health;
           health.NoteFailure(kA, kStart);
@@ -162,12 +164,13 @@
           health.Sweep(kStart + 61s);
           CPPUNIT_ASSERT_EQUAL(0.0, health.FailureShare(kA));
         }),
-     It("remembers lost answers between the good ones",
+     It("remembers lost answers between successful ones",
         [] {
-          // Symptom: calls that may run once are lost at the same two
-          // endpoints for five seconds. Sequence: these lose two of five
-          // answers; each good one in between ends the pause after a lost one.
-          // Cause: only failures that were answered were counted.
+          // Guards against calls that may run once and are lost at the same two
+          // endpoints for five seconds. These endpoints lose two of five
+          // answers, and each successful answer in between ends the pause after
+          // a lost one. It comes about when only failures that were answered
+          // are counted.
           EndpointHealth health;
           for (int number = 0; number < 50; ++number) {
             if (number % 5 < 2) {
@@ -190,14 +193,15 @@
                         Pointers(records), random)
                   ->id == kB);
         }),
-     It("tells nobody of refusals that placements of peers may explain",
-        [] {
-          // Symptom: in a burst a hundred processes avoid endpoints that are
-          // sound, and turn callers away with a third of the pool free.
-          // Sequence: many place at one endpoint that looked empty by old
-          // news; it is full and refuses; each takes it for one that leaves,
-          // and tells the others. Cause: refusals that came within one round
-          // of news were counted as several signs.
+     It("reports no refusals that placements of peers may explain",
+        [] {
+          // Guards against a burst in which a hundred processes avoid healthy
+          // endpoints and refuse callers while a third of the pool is free.
+          // Many processes place requests at one endpoint that looked empty by
+          // stale load data. It is full and refuses; each process takes it for
+          // an endpoint that is leaving, and reports that to its peers. It
+          // comes about when refusals within one round of reports are counted
+          // as several signs.
           EndpointHealth health;
           health.NoteUnexpectedRefusal(kA, 400ms, kStart);
           CPPUNIT_ASSERT(health.Full(kA, kStart + 100ms));
@@ -209,8 +213,8 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                health.Unreachable(kStart + 510ms).size());
         }),
-     It("calls one full that refused for want of room, until something there "
-        "has ended",
+     It("counts an endpoint as full after a refusal for lack of capacity, "
+        "until some work there has ended",
         [] {
           EndpointHealth health;
           health.NoteFull(kA, kStart);
@@ -221,7 +225,7 @@
           health.NoteCapacity(kA);
           CPPUNIT_ASSERT(!health.Full(kA, kStart));
         }),
-     It("holds a pause that a peer told by the hash of the id", [] {
+     It("applies a pause that a peer reported by the hash of the id", [] {
        EndpointHealth health;
        health.NotePause(LoadTable::KeyOf(kA), kStart + 1s);
        CPPUNIT_ASSERT(health.Paused(kA, kStart));
@@ -229,9 +233,10 @@
        CPPUNIT_ASSERT(!health.Paused(kB, kStart));
      })});
 
-const acacialug::testing::Story kBook(
-    "the book of loads",
-    {It("adds what peers told to one's own, and forgets a silent peer's",
+const acacialug::testing::Story kLoadTable(
+    "the load table",
+    {It("adds the loads that peers reported to its own, and drops those of a "
+        "peer that stopped reporting",
         [] {
           LoadTable load_table;
           load_table.Add(kA, {.requests = 1, .kv_tokens = 100});
@@ -248,7 +253,7 @@
           load_table.Remove(kA, {.requests = 1, .kv_tokens = 100});
           CPPUNIT_ASSERT(load_table.Own().rows.empty());
         }),
-     It("tells how old the news are of those near, and of the others",
+     It("gives the age of the reports of near peers, and of far peers",
         [] {
           LoadTable load_table;
           using enum LoadTable::Nearness;
@@ -261,11 +266,11 @@
           CPPUNIT_ASSERT(load_table.ReportAge(kFar, now) == 80ms);
           CPPUNIT_ASSERT(load_table.OldestReportAge(now) == 100ms);
         }),
-     It("keeps totals that are the sum of what it was told, whatever the order",
+     It("keeps totals that are the sum of all reports, whatever their order",
         [] {
           RandomSource random(5);
           LoadTable load_table;
-          std::map<int, std::map<int, std::uint64_t>> tokens;  // by teller
+          std::map<int, std::map<int, std::uint64_t>> tokens;  // by reporter
           std::map<int, Instant> reported_at;
           Instant now = kStart;
           constexpr int kSelf = 0;
@@ -279,7 +284,7 @@
             const std::uint64_t load = 1 + random.Below(1000);
             if (random.Below(50) == 0) {
               load_table.Forget(id(endpoint));
-              for (auto& [who, loads] : tokens) {
+              for (auto& [source, loads] : tokens) {
                 loads.erase(endpoint);
               }
             } else if (reporter != kSelf) {
@@ -303,10 +308,10 @@
             }
             load_table.Sweep(now);
             std::uint64_t sum = 0;
-            for (const auto& [who, loads] : tokens) {
+            for (const auto& [source, loads] : tokens) {
               const bool kept =
-                  who == kSelf ||
-                  reported_at[who] + LoadTable::kPeerMemory >= now;
+                  source == kSelf ||
+                  reported_at[source] + LoadTable::kPeerMemory >= now;
               const auto found = loads.find(endpoint);
               sum += kept && found != loads.end() ? found->second : 0;
             }
@@ -316,8 +321,9 @@
         })});
 
 const acacialug::testing::Story kBudget(
-    "the budget of repeats",
-    {It("allows its part of the extra, and a share of the window's requests",
+    "the repeat budget",
+    {It("allows its part of the extra repeats, and a share of the window's "
+        "requests",
         [] {
           RepeatBudget budget(
               {.share = 0.2, .extra = 40, .window = 10s, .margin = 1.0});
@@ -328,9 +334,10 @@
           }
           CPPUNIT_ASSERT_EQUAL(30, allowed);
         }),
-     It("allows nothing twice within any window", [] {
-       // Symptom: more repeats in ten seconds than the bound, around the turn
-       // of a counter's window. Cause: windows that do not slide.
+     It("allows no more than its bound within any window", [] {
+       // Guards against more repeats in ten seconds than the bound, around the
+       // reset of a counter's window. It comes about with windows that do not
+       // slide.
        RepeatBudget budget(
            {.share = 0, .extra = 5, .window = 10s, .margin = 1.0});
        int allowed = 0;
@@ -357,7 +364,7 @@
     {"three at once", {"id: 1\n\nid: 2\n\nid: 3\n\n"}, 3, ""}};
 
 const acacialug::testing::Story kSplitter(
-    "the splitter of events",
+    "the event splitter",
     {ForEach<SplitCase>(
         "given",
         kSplitCases,
@@ -382,7 +389,8 @@
 
 const acacialug::testing::Story kQueue(
     "the queue for decode memory",
-    {It("serves by priority, then those computed for, then by arrival",
+    {It("serves by priority, then by rank (resumed, on time, late), then by "
+        "arrival",
         [] {
           AdmissionQueue queue({});
           queue.Push({.id = 1, .rank = TicketRank::kLate, .arrived = kStart});
@@ -398,20 +406,21 @@
           }
           CPPUNIT_ASSERT((order == std::vector<TicketId>{4, 3, 2, 1, 5}));
         }),
-     It("turns away who would wait, and lets in who would hardly",
+     It("refuses a request that would wait long, and admits a request that "
+        "would hardly wait",
         [] {
           AdmissionQueue queue({});
-          queue.NoteAllocated(400'000);  // over 3.5 s: 114 tokens a ms
+          queue.NoteAllocated(400'000);  // over 3.5 s: 114 tokens per ms
           CPPUNIT_ASSERT(queue.CheckAdmission({.kv_tokens = 4000}).admitted);
           CPPUNIT_ASSERT(!queue.CheckAdmission({.kv_tokens = 8000}).admitted);
         }),
-     It("asks refused callers back one after the other, up to its bound", [] {
+     It("gives refused callers successive retry times, up to a bound", [] {
        AdmissionQueue queue({});
        RandomSource random(1);
        queue.NoteAllocated(40'000);
        const Duration first = queue.NextRetryDelay(4000, 14s, kStart, random);
        const Duration second = queue.NextRetryDelay(4000, 14s, kStart, random);
-       // Not within the burst that it was refused in.
+       // The caller does not return within the burst in which it was refused.
        CPPUNIT_ASSERT(first >= 2800ms);
        CPPUNIT_ASSERT(first >= 300ms);
        CPPUNIT_ASSERT(second > first + 500ms);
@@ -422,13 +431,14 @@
      })});
 
 const acacialug::testing::Story kRestart(
-    "an endpoint that starts again under its id",
-    {It("has none of the load of its former life, whose end takes nothing off",
+    "an endpoint that restarts under the same id",
+    {It("has no load of its previous incarnation, whose end reduces no load",
         [] {
-          // Symptom: an endpoint that has just started looks full, and later
-          // emptier than it is. Sequence: it crashes with streams and is back
-          // under its id; new work is placed; the broken streams give back
-          // what they held. Cause: loads were told apart by the id alone.
+          // Guards against an endpoint that looks full right after its start,
+          // and later emptier than it is. It crashes with streams and restarts
+          // under the same id; new requests are placed there; the broken
+          // streams release what they held. It comes about when loads are
+          // distinguished by the id alone.
           LoadTable load_table;
           load_table.Add(kA, {.requests = 3, .kv_tokens = 9000}, 100);
           load_table.SetPeer("p",
@@ -445,24 +455,26 @@
           CPPUNIT_ASSERT_EQUAL(std::uint32_t{1},
                                load_table.TotalAt(kA).requests);
         }),
-     It("is neither ill, slow nor full by what it was before", [] {
-       EndpointHealth health;
-       health.NoteTimeout(kA, kStart);
-       health.NoteFull(kA, kStart);
-       health.NoteSpeed(kA, 8);
-       health.NotePause(LoadTable::KeyOf(kA), kStart + 5s);
-       health.NoteReportedUnreachable(LoadTable::KeyOf(kA), 400ms, kStart);
-       health.Forget(kA);
-       CPPUNIT_ASSERT(!health.Avoided(kA, kStart));
-       CPPUNIT_ASSERT(!health.Full(kA, kStart));
-       CPPUNIT_ASSERT(!health.Paused(kA, kStart));
-       CPPUNIT_ASSERT_EQUAL(1.0, health.Slowness(kA));
-       CPPUNIT_ASSERT_EQUAL(0.0, health.FailureShare(kA));
-     })});
+     It("is not avoided, full, paused or slow because of its previous "
+        "incarnation",
+        [] {
+          EndpointHealth health;
+          health.NoteTimeout(kA, kStart);
+          health.NoteFull(kA, kStart);
+          health.NoteSpeed(kA, 8);
+          health.NotePause(LoadTable::KeyOf(kA), kStart + 5s);
+          health.NoteReportedUnreachable(LoadTable::KeyOf(kA), 400ms, kStart);
+          health.Forget(kA);
+          CPPUNIT_ASSERT(!health.Avoided(kA, kStart));
+          CPPUNIT_ASSERT(!health.Full(kA, kStart));
+          CPPUNIT_ASSERT(!health.Paused(kA, kStart));
+          CPPUNIT_ASSERT_EQUAL(1.0, health.Slowness(kA));
+          CPPUNIT_ASSERT_EQUAL(0.0, health.FailureShare(kA));
+        })});
 
-const acacialug::testing::Story kPlacement(
-    "the place of a generation",
-    {It("is where memory is free, and never where it would not fit",
+const acacialug::testing::Story kStreamPlacement(
+    "the placement of a generation",
+    {It("is where memory is free, and never where the generation does not fit",
         [] {
           LoadTable load_table;
           const EndpointHealth health;
@@ -494,12 +506,12 @@
         }),
      It("is a decode endpoint alone while prompts queue up and memory is free",
         [] {
-          // Symptom: on a calm day 13 of 320 generations are refused while a
-          // third to two thirds of the memory is taken. Sequence: an endpoint
-          // changes its role, four prompts arrive at once, and the wait for
-          // the other prefill endpoints is longer than is let in. Cause: no
-          // place without a prefill endpoint, though decode endpoints can
-          // compute prompts.
+          // Guards against 13 of 320 generations refused on a calm day while a
+          // third to two thirds of the memory is taken. An endpoint changes its
+          // role, four prompts arrive at once, and the wait for the other
+          // prefill endpoints exceeds the admitted maximum. It comes about when
+          // each placement needs a prefill endpoint, though decode endpoints
+          // can compute prompts.
           LoadTable load_table;
           const EndpointHealth health;
           const StreamPlacement placement({}, load_table, health);
@@ -521,14 +533,15 @@
           CPPUNIT_ASSERT(!placement.Pick(need, engine, kForecast,
                                          Pointers(records), random));
         }),
-     It("is no decode endpoint alone where the prompt would hold up its "
+     It("is not a decode endpoint alone where the prompt would pause its "
         "streams for longer than their callers allow",
         [] {
-          // Symptom: engines that read slowly serve nine of ten generations
-          // late on a calm day, with pauses of 450 ms where 260 are allowed.
-          // Sequence: prompts queue, decode endpoints with room compute them,
-          // and each piece stands between two steps of all their streams.
-          // Cause: room was asked for, and not what the prompt does to others.
+          // Guards against engines that read prompts slowly and serve nine of
+          // ten generations late on a calm day, with pauses of 450 ms where 260
+          // ms are allowed. Prompts queue, decode endpoints with free memory
+          // compute them, and each part of a prompt runs between two steps of
+          // all their streams. It comes about when free memory is checked, but
+          // not the prompt's effect on other streams.
           LoadTable load_table;
           const EndpointHealth health;
           const StreamPlacement placement({}, load_table, health);
@@ -560,7 +573,8 @@
           load_table.Remove(kA, {.requests = 1, .kv_tokens = 3000});
           CPPUNIT_ASSERT(pick().has_value());
         }),
-     It("is in the process's own failure domain unless that is clearly fuller",
+     It("is in the process's own failure domain unless that domain is clearly "
+        "fuller",
         [] {
           LoadTable load_table;
           const EndpointHealth health;
@@ -582,13 +596,14 @@
           };
           CPPUNIT_ASSERT(pick("x")->decode.id == kA);
           CPPUNIT_ASSERT(pick("y")->decode.id == kB);
-          // Next to where its result goes, not to the process.
+          // The prefill endpoint is near the decode endpoint that takes its
+          // result, not near the process.
           CPPUNIT_ASSERT_EQUAL(std::string("f"), pick("x")->prefill->id.text);
           load_table.Add(kA, {.requests = 3, .kv_tokens = 9000});
           CPPUNIT_ASSERT(pick("x")->decode.id == kB);
           CPPUNIT_ASSERT_EQUAL(std::string("g"), pick("x")->prefill->id.text);
         }),
-     It("may be waited for longer on a route with a longer objective",
+     It("allows a longer prefill wait on a route with a longer objective",
         [] {
           LoadTable load_table;
           const EndpointHealth health;
@@ -611,13 +626,13 @@
           CPPUNIT_ASSERT(!pick(500ms));
           CPPUNIT_ASSERT(pick(2s)->prefill.has_value());
         }),
-     It("may be waited for longer while decode memory is free",
+     It("allows a longer prefill wait while decode memory is free",
         [] {
-          // Symptom: after all processes restarted callers are refused with a
-          // third of the decode memory taken. Sequence: their streams broke
-          // together, they come back within a third of a second, and prompts
-          // queue for more than half of the objective. Cause: one bound for a
-          // wait that holds memory, whether memory is short or not.
+          // Guards against callers refused with a third of the decode memory
+          // taken, after all processes restarted. Their streams break together,
+          // they return within a third of a second, and prompts queue for more
+          // than half of the objective. It comes about when a wait that holds
+          // memory has the same bound whether memory is short or not.
           LoadTable load_table;
           const EndpointHealth health;
           const StreamPlacement placement({.local_prefill_fill = 0}, load_table,
@@ -630,7 +645,7 @@
           const StreamPlacement::Need need{.size = {.prompt_tokens = 3000},
                                            .objective = 900ms,
                                            .now = kStart};
-          // Some 550 ms with the prompt's own time.
+          // The wait is some 550 ms, including the time of the prompt itself.
           load_table.Add(EndpointId("f"),
                          {.requests = 5, .prefill_tokens = 14500});
           load_table.Add(kA, {.requests = 1, .kv_tokens = 3000});
@@ -642,31 +657,33 @@
           load_table.Add(kA, {.requests = 4, .kv_tokens = 13500});
           CPPUNIT_ASSERT(!pick());
         }),
-     It("spreads what several processes place by the same news", [] {
-       LoadTable load_table;
-       const EndpointHealth health;
-       const StreamPlacement placement({}, load_table, health);
-       std::vector<EndpointRecord> records;
-       records.reserve(10);
-       for (int number = 0; number < 10; ++number) {
-         records.push_back(
-             Record("d" + std::to_string(number), EndpointRole::kDecode));
-       }
-       const EngineTraits engine{.slots = 64, .kv_tokens = 20000};
-       RandomSource random(1);
-       std::map<std::string, int> chosen;
-       for (int number = 0; number < 100; ++number) {
-         ++chosen[placement
-                      .Pick({.size = {.prompt_tokens = 100}, .now = kStart},
-                            engine, kForecast, Pointers(records), random)
-                      ->decode.id.text];
-       }
-       CPPUNIT_ASSERT(chosen.size() >= 8);
-     })});
+     It("spreads the requests that several processes place by the same load "
+        "data",
+        [] {
+          LoadTable load_table;
+          const EndpointHealth health;
+          const StreamPlacement placement({}, load_table, health);
+          std::vector<EndpointRecord> records;
+          records.reserve(10);
+          for (int number = 0; number < 10; ++number) {
+            records.push_back(
+                Record("d" + std::to_string(number), EndpointRole::kDecode));
+          }
+          const EngineTraits engine{.slots = 64, .kv_tokens = 20000};
+          RandomSource random(1);
+          std::map<std::string, int> chosen;
+          for (int number = 0; number < 100; ++number) {
+            ++chosen[placement
+                         .Pick({.size = {.prompt_tokens = 100}, .now = kStart},
+                               engine, kForecast, Pointers(records), random)
+                         ->decode.id.text];
+          }
+          CPPUNIT_ASSERT(chosen.size() >= 8);
+        })});
 
 const acacialug::testing::Story kCallPlacement(
-    "the place of a call",
-    {It("is the near one, until it fails", [] {
+    "the placement of a call",
+    {It("is the near endpoint, until it fails", [] {
       LoadTable load_table;
       EndpointHealth health;
       const CallPlacement placement(load_table, health);
@@ -682,8 +699,9 @@
     })});
 
 const acacialug::testing::Story kPlanner(
-    "the plan of roles",
-    {It("gives prefill what the requests' shape needs, and no more",
+    "the role planner",
+    {It("gives prefill the endpoints that the requests' sizes need, and no "
+        "more",
         [] {
           RolePlanner planner({});
           LoadTable load_table;
@@ -711,9 +729,9 @@
             CPPUNIT_ASSERT(change.role == EndpointRole::kDecode);
           }
         }),
-     // Guards against: shares planned from the few requests at one of many
-     // processes.
-     It("goes by the requests at all processes",
+     // Guards against shares that are planned from the few requests at one of
+     // many processes.
+     It("plans by the requests at all processes",
         [] {
           RolePlanner planner({});
           const EngineTraits engine{
@@ -741,9 +759,9 @@
           CPPUNIT_ASSERT_EQUAL(0.0,
                                planner.PrefillShare(engine, kForecast, 1.0));
         }),
-     // Guards against: a third of the decode endpoints switched in a burst
-     // since the first prompts were long and their answers short.
-     It("makes more prefill endpoints only when those there are kept busy",
+     // Guards against a third of the decode endpoints being switched in a burst
+     // because the first prompts are long and their answers short.
+     It("adds prefill endpoints only when the existing ones are busy",
         [] {
           RolePlanner planner({});
           LoadTable load_table;
@@ -760,20 +778,20 @@
             planner.NoteRequest(
                 {.prompt_tokens = 9000, .expected_output_tokens = 200});
           }
-          const auto after_looks = [&] {
-            for (int look = 0; look < 10; ++look) {
+          const auto plan_after_watching = [&] {
+            for (int step = 0; step < 10; ++step) {
               planner.Watch(engine, Pointers(records), load_table, kStart);
             }
             return planner.Plan(engine, kForecast, Pointers(records),
                                 load_table, kStart);
           };
-          CPPUNIT_ASSERT(after_looks().empty());
+          CPPUNIT_ASSERT(plan_after_watching().empty());
           for (int number = 0; number < 6; ++number) {
             load_table.Add(records[number].id, {.prefill_tokens = 9000});
           }
-          CPPUNIT_ASSERT(!after_looks().empty());
+          CPPUNIT_ASSERT(!plan_after_watching().empty());
         }),
-     It("switches nothing more while a switch is under way",
+     It("orders no other switch while a switch is under way",
         [] {
           RolePlanner planner({});
           LoadTable load_table;
@@ -799,12 +817,13 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                planner.Pauses(kStart + 5s).size());
         }),
-     It("keeps an endpoint out until its record shows the new role, and counts "
-        "the switch from the end of what runs there",
+     It("pauses an endpoint until its record shows the new role, and times the "
+        "switch from the end of what runs there",
         [] {
-          // Symptom and cause: see "is not placed where promised memory was
-          // refused twice". Sequence: the switch was counted from the order,
-          // though streams that ran there went on for three seconds.
+          // Guards against the failure of "is not placed where reserved memory
+          // was refused twice" (relay_test.cc). It comes about when the switch
+          // is timed from the order, though streams that run there continue for
+          // three seconds.
           RolePlanner planner({});
           LoadTable load_table;
           std::vector<EndpointRecord> records = {
@@ -828,12 +847,14 @@
           planner.Watch(engine, Pointers(records), load_table, kStart + 21s);
           CPPUNIT_ASSERT(planner.Pauses(kStart + 21s).empty());
         }),
-     It("gives slow readers more prefill endpoints than quick ones",
+     It("gives engines that read prompts slowly more prefill endpoints than "
+        "fast engines",
         [] {
-          // Symptom: a pool that reads 15 tokens a millisecond earns a third
-          // of what it could on a calm day. Sequence: its prompts take twice
-          // what was assumed, queue, and are computed at decode endpoints.
-          // Cause: one reading speed for all engines.
+          // Guards against a pool that reads 15 tokens per millisecond and
+          // earns a third of what it could on a calm day. Its prompts take
+          // twice the assumed time, queue, and are computed at decode
+          // endpoints. It comes about when one reading speed is assumed for all
+          // engines.
           const EngineTraits engine{
               .slots = 64, .kv_tokens = 37354, .role_switch = 6s};
           const auto share = [&engine](double tokens_per_ms) {
@@ -852,7 +873,7 @@
           CPPUNIT_ASSERT(share(15) > 1.5 * share(33));
           CPPUNIT_ASSERT(share(66) < 0.7 * share(33));
         }),
-     It("leaves a split alone that is right within the rounding", [] {
+     It("keeps a split that is right within the rounding", [] {
        RolePlanner planner({});
        LoadTable load_table;
        std::vector<EndpointRecord> records;
@@ -873,9 +894,10 @@
                .empty());
      })});
 
-const acacialug::testing::Story kTurn(
-    "the turn to give orders",
-    {It("is claimed by a process that has long been the first",
+const acacialug::testing::Story kLeaderTerm(
+    "the leader term",
+    {It("is acquired by a process that has been the first for the required "
+        "time",
         [] {
           LeaderTerm term({});
           CPPUNIT_ASSERT(!term.MayAcquire(kStart));
@@ -885,7 +907,8 @@
           term.SetFirst(false, kStart + 3s);
           CPPUNIT_ASSERT(!term.MayAcquire(kStart + 9s));
         }),
-     It("after another's is used only when that one's orders have arrived",
+     It("that follows another process's term is used only when that process's "
+        "orders have arrived",
         [] {
           LeaderTerm term({});
           term.SetFirst(true, kStart);
@@ -899,10 +922,11 @@
               std::uint64_t{8},
               term.OnGrant(TermGrant{.fencing_token = 8}, kStart + 7s).value());
         }),
-     It("is not used when its grant came late", [] {
-       // Symptom: two holders order one endpoint. Sequence: a process claims,
-       // is suspended, another takes over and orders, the first wakes up and
-       // orders with its grant. Cause: a grant taken without its age.
+     It("is not used when its grant arrives late", [] {
+       // Guards against two leaders that order the same endpoint. A process
+       // requests the term and is suspended, another process takes over and
+       // sends orders, and the first process resumes and sends orders by its
+       // grant. It comes about when a grant is taken without its age.
        LeaderTerm term({});
        term.SetFirst(true, kStart);
        term.NoteAcquiring(kStart + 3s);
--- a/src/gateway/tests/endpoint_catalog_test.cc
+++ b/src/gateway/tests/endpoint_catalog_test.cc
@@ -29,15 +29,15 @@
 }
 
 const acacialug::testing::Story kStory(
-    "the catalog of endpoints",
-    {It("takes news by its offset, never backwards",
+    "the endpoint catalog",
+    {It("applies changes by their offset, never backwards",
         [] {
           EndpointCatalog catalog;
           CPPUNIT_ASSERT(catalog.Apply(Written(5, "a", true), kStart));
           CPPUNIT_ASSERT(!catalog.Apply(Written(4, "a"), kStart));
           CPPUNIT_ASSERT(catalog.ForService(kService).empty());
         }),
-     It("tells of an endpoint that started again under its id, and of no other",
+     It("reports an endpoint that restarted under the same id, and no other",
         [] {
           std::vector<std::int64_t> started;
           EndpointCatalog catalog([&started](const EndpointRecord& record) {
@@ -50,13 +50,13 @@
             catalog.Apply(change, kStart);
           };
           write(1, 0);
-          write(2, 100);  // it begins to say when it started
+          write(2, 100);  // the record has a start time from here on
           write(3, 100);
           write(4, 200);
-          write(3, 100);  // comes late
+          write(3, 100);  // arrives late
           CPPUNIT_ASSERT(started == std::vector<std::int64_t>{200});
         }),
-     It("does not call a heartbeat a change",
+     It("does not count a heartbeat as a change",
         [] {
           EndpointCatalog catalog;
           catalog.Apply(Written(5, "a"), kStart);
@@ -64,7 +64,7 @@
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, catalog.changed_to().value);
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, catalog.complete_to().value);
         }),
-     It("does not bring back by a peer's older news what is gone",
+     It("does not restore a deleted endpoint from a peer's older snapshot",
         [] {
           EndpointCatalog catalog;
           catalog.Apply(Written(5, "a"), kStart);
@@ -74,13 +74,15 @@
                         kStart);
           CPPUNIT_ASSERT(catalog.Find(EndpointId("a")) == nullptr);
         }),
-     It("does not take from an older snapshot what was gone before it began",
+     It("does not take from an older snapshot an endpoint that was deleted "
+        "before this process started",
         [] {
-          // Symptom: requests reach an endpoint 3.2 s after its record was
-          // deleted. Sequence: a process starts and reads the store, which
-          // lacks the endpoint; a peer that is behind hands it a catalog that
-          // has it; others take its catalog, which is the newest. Cause: it
-          // never knew the endpoint, and so did not know it for deleted.
+          // Guards against requests that reach an endpoint 3.2 s after its
+          // record was deleted. A process starts and reads the store, which
+          // lacks the endpoint; a peer that lags sends it a catalog that has
+          // the endpoint; others take its catalog, which is the newest. It
+          // comes about when the process never knew the endpoint, and so does
+          // not know of its deletion.
           EndpointCatalog started;
           started.Apply(
               EndpointSnapshot{.as_of = LogOffset(9),
@@ -95,19 +97,20 @@
           started.Apply(Written(9, "d"), kStart);
           CPPUNIT_ASSERT(started.Find(EndpointId("d")) != nullptr);
         }),
-     It("drops what a newer snapshot lacks",
+     It("drops an endpoint that a newer snapshot lacks",
         [] {
           EndpointCatalog catalog;
           catalog.Apply(Written(5, "a"), kStart);
           catalog.Apply(EndpointSnapshot{.as_of = LogOffset(9)}, kStart);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, catalog.size());
         }),
-     It("takes the record that follows a snapshot which lacked its endpoint",
+     It("applies the record that follows a snapshot without its endpoint",
         [] {
-          // Symptom: requests go to an endpoint three seconds after it said
-          // that it leaves. Sequence: a snapshot as of 9 lacks it; its record
-          // at offset 9 says that it leaves. Cause: the deletion was given
-          // the snapshot's end, 9, as its offset, and hid that record.
+          // Guards against requests that go to an endpoint three seconds after
+          // it reported that it leaves. A snapshot as of 9 lacks the endpoint;
+          // its record at offset 9 has it leaving. It comes about when the
+          // deletion gets the snapshot's end, 9, as its offset, and hides that
+          // record.
           EndpointCatalog catalog;
           catalog.Apply(Written(5, "a"), kStart);
           catalog.Apply(EndpointSnapshot{.as_of = LogOffset(9)}, kStart);
@@ -115,8 +118,8 @@
           CPPUNIT_ASSERT(catalog.Find(EndpointId("a")) != nullptr);
           CPPUNIT_ASSERT(catalog.Find(EndpointId("a"))->leaving);
         }),
-     It("keeps records that lapse while the store is out, for as long as they "
-        "may take to come back",
+     It("keeps records that lapse during a store outage, for as long as their "
+        "return may take",
         [] {
           EndpointCatalog catalog;
           catalog.Apply(Written(5, "a"), kStart);
@@ -132,14 +135,14 @@
           CPPUNIT_ASSERT(catalog.Find(EndpointId("a")) != nullptr);
           CPPUNIT_ASSERT(catalog.Find(EndpointId("b")) == nullptr);
         }),
-     It("believes a peer that has waited for lapsed records, whatever its own "
-        "sight of the store",
+     It("accepts the snapshot of a peer that has waited for lapsed records, "
+        "whatever its own connection to the store",
         [] {
-          // Symptom: requests reach an endpoint 3.6 s after its record was
-          // deleted. Sequence: a process loses the store, finds it by its
-          // peers, and loses it again, each second; a peer's snapshot lacks
-          // the endpoint. Cause: each return began another wait for lapsed
-          // records.
+          // Guards against requests that reach an endpoint 3.6 s after its
+          // record was deleted. Each second a process loses the store, regains
+          // it through its peers, and loses it again; a peer's snapshot lacks
+          // the endpoint. It comes about when each return of the store starts
+          // another wait for lapsed records.
           EndpointCatalog catalog;
           catalog.Apply(Written(5, "a"), kStart);
           catalog.NoteStoreLost();
@@ -151,14 +154,16 @@
               kStart + 1s);
           CPPUNIT_ASSERT(catalog.Find(EndpointId("a")) == nullptr);
         }),
-     It("does not pass on as alive, nor claim to know, what may have lapsed",
+     It("neither reports a record that may have lapsed as live, nor claims to "
+        "know its state",
         [] {
-          // Symptom: requests reach an endpoint 3.1 s after its record was
-          // deleted. Sequence: a process that waits for lapsed records hands
-          // its catalog to a peer, with the deleted endpoint in it and known
-          // beyond its deletion; it drops the endpoint later, and the peer,
-          // which knows as far, never asks again. Cause: the entry was given
-          // the deletion's offset.
+          // Guards against requests that reach an endpoint 3.1 s after its
+          // record was deleted. A process that waits for lapsed records sends
+          // its catalog to a peer, with the deleted endpoint in it and complete
+          // beyond its deletion. The process drops the endpoint later; the
+          // peer, which is complete to the same offset, never requests the
+          // catalog again. It comes about when the entry gets the deletion's
+          // offset.
           EndpointCatalog reporter;
           reporter.Apply(Written(5, "a"), kStart);
           reporter.NoteStoreLost();
@@ -172,7 +177,7 @@
           peer.Apply(Deleted(6, "a"), kStart);
           CPPUNIT_ASSERT(peer.Find(EndpointId("a")) == nullptr);
         }),
-     It("calls its own snapshot settled only when it has waited itself",
+     It("marks its own snapshot as settled only after its own wait",
         [] {
           EndpointCatalog catalog;
           catalog.Apply(EndpointSnapshot{.as_of = LogOffset(1)}, kStart);
@@ -181,7 +186,7 @@
           catalog.NoteStoreLost();
           CPPUNIT_ASSERT(!catalog.Snapshot(kStart + 4s).settled);
         }),
-     It("believes at once that one which had said it leaves is gone", [] {
+     It("accepts the deletion of a leaving endpoint at once", [] {
        EndpointCatalog catalog;
        catalog.Apply(Written(5, "a", true), kStart);
        catalog.NoteStoreLost();
--- a/src/gateway/tests/gateway_simulation.cc
+++ b/src/gateway/tests/gateway_simulation.cc
@@ -319,22 +319,24 @@
   return this->calls;
 }
 
-std::shared_ptr<Call> GatewaySimulation::FindAt(const std::string& endpoint,
-                                                std::string_view what) {
+std::shared_ptr<Call> GatewaySimulation::FindAt(
+    const std::string& endpoint,
+    std::string_view target_or_step) {
   const auto open = this->Calls();
   for (auto call = open.rbegin(); call != open.rend(); ++call) {
     const bool here =
         endpoint.empty() || (*call)->address == this->addresses.at(endpoint);
-    if (here && ((*call)->request.target.find(what) != std::string::npos ||
-                 Text((*call)->request.headers, "Step") == what)) {
+    if (here &&
+        ((*call)->request.target.find(target_or_step) != std::string::npos ||
+         Text((*call)->request.headers, "Step") == target_or_step)) {
       return *call;
     }
   }
   return nullptr;
 }
 
-std::shared_ptr<Call> GatewaySimulation::Find(std::string_view what) {
-  return this->FindAt({}, what);
+std::shared_ptr<Call> GatewaySimulation::Find(std::string_view target_or_step) {
+  return this->FindAt({}, target_or_step);
 }
 
 void GatewaySimulation::Reply(const std::shared_ptr<Call>& call,
--- a/src/gateway/tests/gateway_simulation.h
+++ b/src/gateway/tests/gateway_simulation.h
@@ -13,7 +13,7 @@
 
 namespace acacialug::gateway::testing {
 
-// What a caller got.
+// The answer that a caller received.
 struct Answer {
   int status = 0;
   std::string body;
@@ -24,7 +24,7 @@
   Instant ended_at = kNever;
 };
 
-// A request as an endpoint got it, until it is answered.
+// A request as an endpoint received it, until it is answered.
 struct Call {
   http::Client::ExchangeId id = 0;
   http::Address address;
@@ -33,43 +33,47 @@
   bool cancelled = false;
 };
 
-// A header of the request, as the endpoint got it; empty: it has none.
+// The value of a header of the request as the endpoint received it; empty when
+// the header is absent.
 std::string HeaderOf(const std::shared_ptr<Call>& call, std::string_view name);
 
-// A core in virtual time, whose endpoints the test plays by hand. Its dialect:
-// the header `Id` names a request, `Size` is "PROMPT,OUTPUT", `Deadline` is in
-// ms, `Key` is the caller's key; endpoints get the name of its customer as
-// `Customer`, and answer with the headers `Id`, `Proof` (an endpoint's own
-// answer) or `Refused` (it did not run), and `Other` for a wrong address.
+// A core in virtual time, whose endpoints the test drives by hand. In its
+// dialect the header `Id` names a request, `Size` is "PROMPT,OUTPUT",
+// `Deadline` is in ms, and `Key` is the caller's key. Endpoints receive the
+// name of the request's customer as `Customer`, and answer with the headers
+// `Id`, `Proof` (the endpoint's own answer), `Refused` (the request did not
+// run) or `Other` (the address is wrong).
 class GatewaySimulation {
  public:
-  // `repeat_extra`: the budget of repeats beside its share of the requests.
+  // `repeat_extra`: repeats that the budget allows beside its share of the
+  // requests.
   explicit GatewaySimulation(double repeat_extra = 58);
 
-  // A configuration with the routes of kRoutes, in force at once; a later call
+  // Activates a configuration with the routes of this simulation; a later call
   // replaces it.
   void Configure(std::optional<std::vector<Customer>> customers = {});
   void AddEndpoint(const std::string& id,
                    const std::string& service,
                    EndpointRole role);
   void RemoveEndpoint(const std::string& id);
-  // It takes no new work, and ends soon.
+  // Marks the endpoint as leaving: it takes no new work, and ends soon.
   void Retire(const std::string& id);
 
-  // Sends a caller's request; its answer is filled in as time goes on.
+  // Sends a caller's request; the answer is filled in as time advances.
   std::shared_ptr<Answer> SendRequest(const std::string& path,
                                       const std::string& id,
                                       const std::string& size = "3000,900",
                                       int deadline_ms = 14000);
-  // The caller of the latest request leaves.
+  // Disconnects the caller of the latest request.
   void Disconnect();
 
-  // Requests that are at endpoints now; the newest last.
+  // Requests that are at endpoints now, the newest last.
   std::vector<std::shared_ptr<Call>> Calls();
-  // The newest call whose target, or header `Step`, has this.
-  std::shared_ptr<Call> Find(std::string_view what);
+  // The newest call whose target contains `target_or_step`, or whose header
+  // `Step` equals it; null if there is none.
+  std::shared_ptr<Call> Find(std::string_view target_or_step);
   std::shared_ptr<Call> FindAt(const std::string& endpoint,
-                               std::string_view what);
+                               std::string_view target_or_step);
 
   // Answers of endpoints.
   void Reply(const std::shared_ptr<Call>& call,
@@ -85,22 +89,23 @@
   void Begin(const std::shared_ptr<Call>& call);
   void Event(const std::shared_ptr<Call>& call, int id);
   void End(const std::shared_ptr<Call>& call);
-  // Grants the reservation and answers the prefill of the newest generation.
+  // Grants the reservation and answers the prefill of the newest generation;
+  // returns its decode call.
   std::shared_ptr<Call> AdvanceToDecode();
 
   void AdvanceBy(Duration time);
-  // This process stands still for so long: time passes, and nothing that is
-  // due or arrives is looked at. Then its event loop looks at its timer, before
-  // its sockets, as it may.
+  // Stalls this process for `time`: time advances, and nothing that is due or
+  // arrives is processed. Then its event loop checks its timer before its
+  // sockets, which an event loop may do.
   void Stall(Duration time);
 
   Instant now{1h};
-  std::string key;  // that callers show; empty: none
+  std::string key;  // which callers send; empty: no key
   RandomSource random{7};
-  std::vector<std::string> events;    // of the log
-  std::vector<std::string> released;  // exports and reservations given back
-  Duration stalled_for{};             // as the core told
-  std::size_t pauses_reported = 0;    // when the core said that there are more
+  std::vector<std::string> events;    // of the log entries
+  std::vector<std::string> released;  // exports and reservations
+  Duration stalled_for{};             // as the core reported
+  std::size_t pauses_reported = 0;    // when the core last reported more
   std::optional<TermGrant> term_grant;
   std::unique_ptr<GatewayCore> core;
   std::map<std::string, http::Address> addresses;
--- a/src/gateway/tests/relay_test.cc
+++ b/src/gateway/tests/relay_test.cc
@@ -16,7 +16,7 @@
 using testing::GatewaySimulation;
 using testing::HeaderOf;
 
-// Two plain endpoints.
+// A simulation with two plain endpoints.
 struct Plain : GatewaySimulation {
   Plain() {
     this->Configure();
@@ -25,7 +25,7 @@
   }
 };
 
-// Two endpoints that prefill and two that decode.
+// A simulation with two prefill endpoints and two decode endpoints.
 struct Model : GatewaySimulation {
   explicit Model(double repeat_extra = 58) : GatewaySimulation(repeat_extra) {
     this->Configure();
@@ -36,7 +36,7 @@
   }
 };
 
-// One of whose streams runs and has made its first event.
+// A simulation with a running stream that has sent its first event.
 struct Streaming : Model {
   explicit Streaming(double repeat_extra = 58)
       : Model(repeat_extra),
@@ -53,55 +53,62 @@
 struct AttemptCase {
   std::string name;
   std::string path;
-  std::function<void(GatewaySimulation&, const std::shared_ptr<Call>&)> happens;
+  std::function<void(GatewaySimulation&, const std::shared_ptr<Call>&)>
+      end_attempt;
   bool sent_again = false;
-  int status = 0;  // if it is not sent again
+  int status = 0;  // of the answer, if it is not sent again
 };
 
 const std::vector<AttemptCase> kAttemptCases = {
-    {"a rejection is tried elsewhere, also of what may run once", "/once/a",
+    {"a rejected request is retried elsewhere, even if it may run only once",
+     "/once/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.ReplyRefused(call);
      },
      true},
-    {"another endpoint at the address is a proof that it did not run",
+    {"an answer from another endpoint at the address proves that it did not "
+     "run",
      "/once/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.Reply(call, 421, {{"Other", "1"}});
      },
      true},
-    {"a connection that never opened is tried elsewhere", "/once/a",
+    {"a request whose connection never opened is retried elsewhere", "/once/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.Break(call, false);
      },
      true},
-    {"a lost answer of what may run once is unknown", "/once/a",
+    {"a request that may run once has an unknown outcome when its answer is "
+     "lost",
+     "/once/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.Break(call);
      },
      false, 502},
-    {"a lost answer of what may run again is asked for elsewhere",
+    {"a request that may run again is retried elsewhere when its answer is "
+     "lost",
      "/idempotent/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.Break(call);
      },
      true},
-    {"an answer without an endpoint's proof is no answer", "/once/a",
+    {"an answer without an endpoint's proof does not count", "/once/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.Reply(call, 200, {}, "x");
      },
      false, 502},
-    {"a failure of what may run once is passed on", "/once/a",
+    {"a failure of a request that may run once is forwarded", "/once/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.ReplyProof(call, 500, "f");
      },
      false, 500},
-    {"a failure of what may run again is tried elsewhere", "/idempotent/a",
+    {"a failed request that may run again is retried elsewhere",
+     "/idempotent/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.ReplyProof(call, 500, "f");
      },
      true},
-    {"a request that is wrong in itself is not tried again", "/idempotent/a",
+    {"an invalid request is not retried", "/idempotent/a",
      [](GatewaySimulation& simulation, const auto& call) {
        simulation.ReplyProof(call, 400, "bad");
      },
@@ -109,7 +116,7 @@
 
 const acacialug::testing::Story kCalls(
     "a plain request",
-    {It("is passed on, and its answer back, as they are",
+    {It("is forwarded unchanged, and so is its answer",
         [] {
           Plain simulation;
           const auto answer = simulation.SendRequest("/once/a?q=1", "r1");
@@ -130,23 +137,24 @@
            Plain simulation;
            const auto answer = simulation.SendRequest(row.path, "r1");
            const auto first = simulation.Find(row.path);
-           const http::Address where = first->address;
-           row.happens(simulation, first);
+           const http::Address first_address = first->address;
+           row.end_attempt(simulation, first);
            const auto second = simulation.Find(row.path);
            CPPUNIT_ASSERT_EQUAL(row.sent_again, second != nullptr);
            if (row.sent_again) {
-             CPPUNIT_ASSERT(!(second->address == where));
+             CPPUNIT_ASSERT(!(second->address == first_address));
              CPPUNIT_ASSERT(!answer->ended);
            } else {
              CPPUNIT_ASSERT_EQUAL(row.status, answer->status);
            }
          }),
-     It("gets the answer that came while this process itself stood still",
+     It("gets the answer that arrived while this process stalled",
         [] {
-          // Answers that lay in the sockets of a gateway that had stood still
-          // were never passed on: its alarms rang before it read them. What may
-          // run again was sent to a second endpoint and the first one avoided;
-          // what may run once was answered 504.
+          // Guards against answers that wait in the sockets of a stalled
+          // gateway and are never forwarded, because its timers fire before it
+          // reads them. A request that may run again is then sent to a second
+          // endpoint and the first endpoint is avoided; a request that may run
+          // once is answered 504.
           for (const std::string path : {"/idempotent/a", "/once/a"}) {
             Plain simulation;
             const auto answer = simulation.SendRequest(path, "r1");
@@ -159,7 +167,7 @@
             CPPUNIT_ASSERT_EQUAL(std::string("made"), answer->body);
           }
         }),
-     It("ends at its deadline after a standstill when there is no answer",
+     It("ends at its deadline after a stall when there is no answer",
         [] {
           Plain simulation;
           const auto answer = simulation.SendRequest("/once/a", "r1");
@@ -177,11 +185,12 @@
           CPPUNIT_ASSERT_EQUAL(503, answer->status);
           CPPUNIT_ASSERT(!answer->retry_after.empty());
         }),
-     It("gets no answer of another request's",
+     It("does not get the answer to another request",
         [] {
-          // Symptom: a caller gets the answer to somebody else's request.
-          // Sequence: an endpoint answers a request twice, the second time on
-          // the connection's next request. Cause: answers matched by order.
+          // Guards against a caller that gets the answer to another caller's
+          // request. An endpoint answers a request twice, the second time to
+          // the next request on the connection. It comes about when answers are
+          // matched by order.
           Plain simulation;
           const auto answer = simulation.SendRequest("/once/a", "r2");
           const auto call = simulation.Find("/once/a");
@@ -191,7 +200,8 @@
           simulation.Reply(call, 200, {{"Proof", "1"}, {"Id", "r2"}}, "yours");
           CPPUNIT_ASSERT_EQUAL(std::string("yours"), answer->body);
         }),
-     It("that may run again goes elsewhere from a silent endpoint",
+     It("that may run again is retried elsewhere when its endpoint is "
+        "unresponsive",
         [] {
           Plain simulation;
           const auto answer = simulation.SendRequest("/idempotent/a", "r1");
@@ -201,7 +211,8 @@
           simulation.ReplyProof(simulation.Find("/idempotent/a"), 200, "ok");
           CPPUNIT_ASSERT_EQUAL(200, answer->status);
         }),
-     It("that may run once waits for a silent endpoint, until its time is over",
+     It("that may run once waits for an unresponsive endpoint until its "
+        "deadline",
         [] {
           Plain simulation;
           const auto answer = simulation.SendRequest("/once/a", "r1");
@@ -211,7 +222,7 @@
           CPPUNIT_ASSERT_EQUAL(504, answer->status);
           CPPUNIT_ASSERT(simulation.Calls().empty());
         }),
-     It("is stopped at the endpoint when its caller leaves",
+     It("is stopped at the endpoint when its caller disconnects",
         [] {
           Plain simulation;
           simulation.SendRequest("/once/a", "r1");
@@ -220,12 +231,13 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                simulation.core->requests_under_way());
         }),
-     It("is refused without a configuration, and has no route in another", [] {
+     It("is refused without a configuration, a route or an endpoint", [] {
        GatewaySimulation simulation;
-       // Symptom: requests are lost after all processes restarted together.
-       // Sequence: each knows no configuration for a second; a caller comes
-       // back after 50 ms, is refused again, and has no try left. Cause: it was
-       // told to come back as if others served.
+       // Guards against requests that are lost after all processes restarted
+       // together. Each process has no configuration for a second; a caller
+       // returns after 50 ms, is refused again, and has no retry left. It comes
+       // about when the caller's retry delay assumes that other processes
+       // serve.
        const auto early = simulation.SendRequest("/once/a", "r1");
        CPPUNIT_ASSERT_EQUAL(503, early->status);
        CPPUNIT_ASSERT(std::stod(early->retry_after) >= 0.5);
@@ -238,7 +250,7 @@
 
 const acacialug::testing::Story kStreams(
     "a generation",
-    {It("reserves, prefills, decodes, and passes each event on",
+    {It("is reserved, prefilled and decoded, and each event is forwarded",
         [] {
           Model simulation;
           const auto answer = simulation.SendRequest("/stream/a", "r1");
@@ -254,37 +266,39 @@
           CPPUNIT_ASSERT(answer->ended && !answer->cut);
           CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
         }),
-     It("is counted with what it has made when it is longer than expected",
+     It("is counted with the tokens that it has made when it is longer than "
+        "expected",
         [] {
-          // Symptom: endpoints run out of memory and stop streams, while their
-          // load reads as three quarters. Sequence: streams grow past their
-          // callers' estimates; others are placed beside them. Cause: loads
-          // that are told once, at the placement.
+          // Guards against endpoints that run out of memory and stop streams
+          // while their load reads as three quarters. Streams grow past their
+          // callers' estimates, and others are placed beside them. It comes
+          // about when a load is reported only once, at the placement.
           Model simulation;
           simulation.SendRequest("/stream/a", "r1", "3000,100");
           const auto decode = simulation.AdvanceToDecode();
           simulation.Begin(decode);
           simulation.Event(decode, 0);
-          const auto at_first = simulation.core->OwnLoad().rows.at(0).load;
+          const auto initial = simulation.core->OwnLoad().rows.at(0).load;
           for (int event = 1; event < 60; ++event) {
             simulation.Event(decode, event);
           }
           const auto later = simulation.core->OwnLoad().rows.at(0).load;
-          CPPUNIT_ASSERT(at_first.kv_tokens <= 3400);
+          CPPUNIT_ASSERT(initial.kv_tokens <= 3400);
           CPPUNIT_ASSERT(later.kv_tokens >= 3000 + 600);
-          CPPUNIT_ASSERT_EQUAL(at_first.requests, later.requests);
+          CPPUNIT_ASSERT_EQUAL(initial.requests, later.requests);
           simulation.End(decode);
           CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
         }),
-     It("is not sent where a peer cannot reach, and a line tells of that once",
+     It("is not sent to an endpoint that a peer cannot reach, which is logged "
+        "once",
         [] {
           Model simulation;
-          const EndpointPause doubt{
+          const EndpointPause pause{
               .endpoint_key = LoadTable::KeyOf(EndpointId("d1")),
               .left = 1s,
               .reason = PauseReason::kUnreachable};
-          simulation.core->SetPause(doubt);
-          simulation.core->SetPause(doubt);
+          simulation.core->SetPause(pause);
+          simulation.core->SetPause(pause);
           for (int number = 0; number < 8; ++number) {
             simulation.SendRequest("/stream/a", "r" + std::to_string(number),
                                    "300,90");
@@ -295,16 +309,17 @@
               std::count(simulation.events.begin(), simulation.events.end(),
                          std::string("endpoint_doubted")));
         }),
-     It("asks another endpoint when a reservation is refused, having computed "
-        "nothing",
+     It("requests memory at another endpoint when a reservation is refused, "
+        "before anything is computed",
         [] {
           Model simulation;
           simulation.SendRequest("/stream/a", "r1");
           const auto first = simulation.Find("/reserve/");
-          const http::Address where = first->address;
+          const http::Address first_address = first->address;
           simulation.Reply(first, 503, {});
           const auto second = simulation.Find("/reserve/");
-          CPPUNIT_ASSERT(second != nullptr && !(second->address == where));
+          CPPUNIT_ASSERT(second != nullptr &&
+                         !(second->address == first_address));
           CPPUNIT_ASSERT(simulation.Find("prefill") == nullptr);
         }),
      It("is refused at once when the pool is full",
@@ -317,7 +332,7 @@
           CPPUNIT_ASSERT(!answer->retry_after.empty());
           CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
         }),
-     It("is refused as not run when its prefill fails time after time",
+     It("does not end when its prefill breaks once",
         [] {
           Model simulation;
           const auto answer = simulation.SendRequest("/stream/a", "r1");
@@ -325,7 +340,8 @@
           simulation.Break(simulation.Find("prefill"));
           CPPUNIT_ASSERT(!answer->ended);
         }),
-     It("has a decode endpoint compute the prompt if no other does",
+     It("has its prompt computed by a decode endpoint if there is no prefill "
+        "endpoint",
         [] {
           Model simulation;
           simulation.RemoveEndpoint("f1");
@@ -334,11 +350,11 @@
           simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
           CPPUNIT_ASSERT(simulation.Find("whole") != nullptr);
         }),
-     It("that breaks off goes on elsewhere after its last whole event",
+     It("that breaks off resumes elsewhere after its last complete event",
         [] {
-          // Symptom: half an event, or events twice, in a caller's stream.
-          // Sequence: an endpoint dies in the middle of an event. Cause:
-          // bytes passed on as they come.
+          // Guards against half an event, or repeated events, in a caller's
+          // stream. An endpoint fails in the middle of an event. It comes about
+          // when bytes are forwarded as they arrive.
           Model simulation;
           const auto answer = simulation.SendRequest("/resumable/a", "r1");
           const auto decode = simulation.AdvanceToDecode();
@@ -361,8 +377,8 @@
               answer->body);
           CPPUNIT_ASSERT(answer->ended && !answer->cut);
         }),
-     It("that may not go on elsewhere is cut off when it breaks, and does not "
-        "look whole",
+     It("that may not resume elsewhere is cut off when it breaks, and does not "
+        "look complete",
         [] {
           Model simulation;
           const auto answer = simulation.SendRequest("/stream/a", "r1");
@@ -373,15 +389,15 @@
           CPPUNIT_ASSERT(answer->cut);
           CPPUNIT_ASSERT(simulation.Calls().empty());
         }),
-     It("that may run once is unknown when its decode endpoint is lost before "
-        "an event",
+     It("that may run once has an unknown outcome when its decode endpoint is "
+        "lost before an event",
         [] {
           Model simulation;
           const auto answer = simulation.SendRequest("/stream/a", "r1");
           simulation.Break(simulation.AdvanceToDecode());
           CPPUNIT_ASSERT_EQUAL(502, answer->status);
         }),
-     It("rejected by its decode endpoint is computed elsewhere",
+     It("that its decode endpoint rejects is computed elsewhere",
         [] {
           Model simulation;
           const auto answer = simulation.SendRequest("/stream/a", "r1");
@@ -389,38 +405,43 @@
           CPPUNIT_ASSERT(!answer->ended);
           CPPUNIT_ASSERT(simulation.Find("/reserve/") != nullptr);
         }),
-     It("pays for its second prompt as well as for its second decode",
+     It("is charged to the repeat budget for its second prefill as well as for "
+        "its second decode",
         [] {
-          // Symptom: 223 repeats in ten seconds where 186 are allowed, with a
-          // budget that was never used up. Sequence: decode endpoints reject
-          // requests whose prompts were computed; each is computed anew and
-          // sent anew. Cause: the pair was counted as one.
-          // Three quarters of 12, and of a fifth of the requests: 9.9 repeats.
+          // Guards against 223 repeats in ten seconds where 186 are allowed,
+          // with a budget that is never used up. Decode endpoints reject
+          // requests whose prompts were computed; each prompt is computed again
+          // and each request is sent again. It comes about when the pair is
+          // counted as one repeat.
+          // The budget is three quarters of 12 and of a fifth of the requests:
+          // 9.9 repeats.
           Model simulation(12);
-          // Enough that none is avoided for refusing what it promised.
+          // With this number, no endpoint is avoided for refusing memory that
+          // it reserved.
           for (int number = 0; number < 40; ++number) {
             simulation.AddEndpoint("more" + std::to_string(number), "model",
                                    EndpointRole::kDecode);
           }
-          int again = 0;
+          int repeats = 0;
           for (int number = 0; number < 6; ++number) {
             simulation.SendRequest("/stream/a", "r" + std::to_string(number),
                                    "300,90");
             simulation.ReplyRefused(simulation.AdvanceToDecode());
-            again += simulation.Find("/reserve/") != nullptr ? 1 : 0;
+            repeats += simulation.Find("/reserve/") != nullptr ? 1 : 0;
             simulation.Disconnect();
             simulation.AdvanceBy(200ms);
           }
-          CPPUNIT_ASSERT_EQUAL(4, again);
+          CPPUNIT_ASSERT_EQUAL(4, repeats);
         }),
-     It("is not placed where promised memory was refused twice",
+     It("is not placed where reserved memory was refused twice",
         [] {
-          // Symptom: on a calm day 39 to 66 prompts are computed in vain, and
-          // callers refused with half of the pool free. Sequence: an endpoint
+          // Guards against 39 to 66 prompts computed in vain on a calm day,
+          // with callers refused while half of the pool is free. An endpoint
           // that changes its role grants a reservation, looks empty, and
           // rejects each request that was computed for it; a second later it
-          // is asked again. Cause: the refusal counted as a sign of a full
-          // endpoint, which has room again in 150 ms.
+          // gets a reservation request again. It comes about when the refusal
+          // counts as a sign of a full endpoint, which has free capacity again
+          // in 150 ms.
           Model simulation;
           const std::string bad = "d1";
           for (int number = 0; number < 40; ++number) {
@@ -446,41 +467,44 @@
             simulation.AdvanceBy(100ms);
           }
         }),
-     It("is computed elsewhere when what was computed cannot be fetched",
+     It("is prefilled elsewhere when the prefill's export cannot be fetched",
         [] {
           Model simulation;
           simulation.SendRequest("/stream/a", "r1");
           simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
           const auto first = simulation.Find("prefill");
-          const http::Address where = first->address;
+          const http::Address first_address = first->address;
           simulation.Reply(first, 200, {}, "x1");
           simulation.ReplyRefused(simulation.Find("decode"));
           simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
-          CPPUNIT_ASSERT(!(simulation.Find("prefill")->address == where));
+          CPPUNIT_ASSERT(
+              !(simulation.Find("prefill")->address == first_address));
         }),
-     It("goes on elsewhere from a silent endpoint, which is stopped before "
-        "another computes it",
+     It("resumes elsewhere from an unresponsive endpoint, which is stopped "
+        "before another endpoint computes it",
         [] {
           Streaming simulation;
           simulation.AdvanceBy(1100ms);
-          const auto asked = simulation.Find("/reserve/");
-          CPPUNIT_ASSERT(asked != nullptr);
-          CPPUNIT_ASSERT(!(asked->address == simulation.decode->address));
+          const auto reserve_call = simulation.Find("/reserve/");
+          CPPUNIT_ASSERT(reserve_call != nullptr);
+          CPPUNIT_ASSERT(
+              !(reserve_call->address == simulation.decode->address));
           CPPUNIT_ASSERT(simulation.Find("prefill") == nullptr);
-          simulation.Reply(asked, 200, {}, "r2");
+          simulation.Reply(reserve_call, 200, {}, "r2");
           CPPUNIT_ASSERT(simulation.decode->cancelled);
           simulation.Reply(simulation.Find("prefill"), 200, {}, "x2");
           CPPUNIT_ASSERT_EQUAL(
               std::string("0"),
               HeaderOf(simulation.Find("decode"), "Resume-After"));
         }),
-     It("stays where it is when it is heard again before another has room",
+     It("stays at its endpoint when an event arrives before another endpoint "
+        "has capacity",
         [] {
           Streaming simulation;
           simulation.AdvanceBy(1100ms);
-          const auto asked = simulation.Find("/reserve/");
+          const auto reserve_call = simulation.Find("/reserve/");
           simulation.Event(simulation.decode, 1);
-          simulation.Reply(asked, 200, {}, "r2");
+          simulation.Reply(reserve_call, 200, {}, "r2");
           CPPUNIT_ASSERT(!simulation.decode->cancelled);
           CPPUNIT_ASSERT_EQUAL(std::string("/reserve/r2"),
                                simulation.released.back());
@@ -488,59 +512,64 @@
           CPPUNIT_ASSERT(simulation.answer->ended && !simulation.answer->cut);
           CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
         }),
-     It("stays where it is when it is heard again while one after the other "
-        "is asked",
+     It("stays at its endpoint when an event arrives while memory is requested "
+        "at other endpoints in turn",
         [] {
-          // A stream that ran was stopped: it was heard after the first other
-          // endpoint had been asked, which refused, and the next one granted.
+          // Guards against a running stream that is stopped. Its endpoint sends
+          // an event after memory was requested at the first other endpoint,
+          // which refuses, and the next endpoint grants the reservation.
           Streaming simulation;
           simulation.AddEndpoint("d3", "model", EndpointRole::kDecode);
           simulation.AdvanceBy(1100ms);
-          const auto asked = simulation.Find("/reserve/");
+          const auto reserve_call = simulation.Find("/reserve/");
           simulation.Event(simulation.decode, 1);
-          simulation.Reply(asked, 503, {});
+          simulation.Reply(reserve_call, 503, {});
           CPPUNIT_ASSERT(simulation.Find("/reserve/") == nullptr);
           CPPUNIT_ASSERT(!simulation.decode->cancelled);
           simulation.End(simulation.decode);
           CPPUNIT_ASSERT(simulation.answer->ended && !simulation.answer->cut);
         }),
-     It("that breaks while another is asked goes on once",
+     It("that breaks while memory is requested elsewhere resumes once",
         [] {
-          // Two endpoints streamed into one answer: the stream broke while
-          // another endpoint was asked for memory, and both the break and the
-          // grant placed it.
+          // Guards against two endpoints that stream into one answer. The
+          // stream breaks while memory is requested at another endpoint, and
+          // both the break and the grant place it.
           Streaming simulation;
           simulation.AdvanceBy(1100ms);
-          const auto asked = simulation.Find("/reserve/");
-          CPPUNIT_ASSERT(asked != nullptr);
+          const auto reserve_call = simulation.Find("/reserve/");
+          CPPUNIT_ASSERT(reserve_call != nullptr);
           simulation.Break(simulation.decode);
-          CPPUNIT_ASSERT(asked->cancelled);
+          CPPUNIT_ASSERT(reserve_call->cancelled);
           const auto again = simulation.Find("/reserve/");
           CPPUNIT_ASSERT(again != nullptr);
           simulation.Reply(again, 200, {}, "r2");
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, simulation.Calls().size());
           CPPUNIT_ASSERT(simulation.Find("prefill") != nullptr);
         }),
-     It("that breaks while another is asked waits once when none has room",
+     It("that breaks while memory is requested elsewhere waits once when no "
+        "endpoint has capacity",
         [] {
-          // The same, when the break found no place at first: the stream waited
-          // for one, and the grant that was still to come placed it besides.
+          // Guards against the same failure when the break finds no placement
+          // at first: the stream waits for a placement, and the grant that is
+          // still to come places it as well.
           Streaming simulation;
           simulation.AdvanceBy(1100ms);
-          const auto asked = simulation.Find("/reserve/");
-          CPPUNIT_ASSERT(asked != nullptr);
+          const auto reserve_call = simulation.Find("/reserve/");
+          CPPUNIT_ASSERT(reserve_call != nullptr);
           simulation.RemoveEndpoint("d1");
           simulation.RemoveEndpoint("d2");
           simulation.Break(simulation.decode);
-          CPPUNIT_ASSERT(asked->cancelled);
+          CPPUNIT_ASSERT(reserve_call->cancelled);
           simulation.AdvanceBy(1s);
           CPPUNIT_ASSERT(simulation.answer->cut);
           CPPUNIT_ASSERT(simulation.Calls().empty());
         }),
-     It("teaches nothing by events that lay unread during a standstill",
+     It("does not change the forecast with events that waited unread during a "
+        "stall",
         [] {
-          // Engines passed for slow, here and at the peers that are told: the
-          // pause before events that lay unread was learned as theirs.
+          // Guards against engines that are taken for slow, here and at the
+          // peers that receive the forecast: the pause before events that
+          // waited unread is learned as the engines' pause.
           Streaming simulation;
           for (int event = 1; event < 20; ++event) {
             simulation.AdvanceBy(30ms);
@@ -553,25 +582,27 @@
           CPPUNIT_ASSERT(before && after);
           CPPUNIT_ASSERT(before->figures == after->figures);
         }),
-     It("stays where it is, and asks again, while all others refuse",
+     It("stays at its endpoint, and requests memory again, while all others "
+        "refuse",
         [] {
           Streaming simulation;
           for (int round = 0; round < 2; ++round) {
             simulation.AdvanceBy(1100ms);
-            const auto asked = simulation.Find("/reserve/");
-            CPPUNIT_ASSERT(asked != nullptr);
-            simulation.Reply(asked, 503, {});
+            const auto reserve_call = simulation.Find("/reserve/");
+            CPPUNIT_ASSERT(reserve_call != nullptr);
+            simulation.Reply(reserve_call, 503, {});
             CPPUNIT_ASSERT(!simulation.decode->cancelled);
           }
           simulation.End(simulation.decode);
           CPPUNIT_ASSERT(simulation.answer->ended && !simulation.answer->cut);
         }),
-     It("stays where it is when the budget of repeats is used up",
+     It("stays at its endpoint when the repeat budget is used up",
         [] {
-          // The streams that were reset were those whose move the budget did
-          // not allow any more: two others had used it up. They had been
-          // stopped before it was asked: "attempt_silent" with goes_elsewhere
-          // true, and "request_ended" with end broken 0.5 ms later.
+          // Guards against streams that are reset because the budget no longer
+          // allows their migration: two others have used it up. It comes about
+          // when a stream is stopped before the budget is checked: the log has
+          // "attempt_silent" with goes_elsewhere true, and 0.5 ms later
+          // "request_ended" with end broken.
           Streaming simulation(0);
           simulation.AdvanceBy(1100ms);
           CPPUNIT_ASSERT(simulation.Find("/reserve/") == nullptr);
@@ -579,7 +610,8 @@
           simulation.End(simulation.decode);
           CPPUNIT_ASSERT(simulation.answer->ended && !simulation.answer->cut);
         }),
-     It("whose caller leaves while others are asked leaves nothing behind",
+     It("whose caller disconnects while memory is requested elsewhere leaves "
+        "nothing behind",
         [] {
           Streaming simulation;
           simulation.AdvanceBy(1100ms);
@@ -587,14 +619,15 @@
           CPPUNIT_ASSERT(simulation.Calls().empty());
           CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
         }),
-     It("goes on where it is when this process itself stood still",
+     It("continues at its endpoint after a stall of this process",
         [] {
-          // Callers' streams were reset in the middle of the answer, though
-          // their endpoints had ended them whole. The gateway had stood still
-          // for 1.9 s under a large configuration. Its alarms rang before its
-          // sockets were read, and took its own standstill for the endpoints'
-          // silence: five streams "attempt_silent" within 6 ms, after_ms 1909
-          // to 5204, one of them with its 91 events and its end unread.
+          // Guards against callers' streams that are reset in the middle of the
+          // answer, though their endpoints completed them. The gateway stalls
+          // for 1.9 s under a large configuration. Its timers fire before its
+          // sockets are read, and its own stall is taken for a timeout of the
+          // endpoints: five streams log "attempt_silent" within 6 ms, with
+          // after_ms from 1909 to 5204, one of them with its 91 events and its
+          // end unread.
           Streaming simulation;
           simulation.Stall(1900ms);
           CPPUNIT_ASSERT(!simulation.decode->cancelled);
@@ -605,11 +638,13 @@
               std::string("id: 0\ndata: x\n\nid: 1\ndata: x\n\n"),
               simulation.answer->body);
         }),
-     It("is stopped where it is silent only when it can go on elsewhere",
+     It("is stopped at an unresponsive endpoint only when it can resume "
+        "elsewhere",
         [] {
-          // A silent stream was stopped at its endpoint first, and then no
-          // other had room for 0.8 s, so that it was cut off. Where it was it
-          // might have gone on, late, but whole.
+          // Guards against an unresponsive stream that is stopped at its
+          // endpoint first and then cut off, because no other endpoint has
+          // capacity for 0.8 s. At its endpoint it might have continued, late
+          // but complete.
           Streaming simulation;
           simulation.RemoveEndpoint("f1");
           simulation.RemoveEndpoint("f2");
@@ -624,7 +659,7 @@
           simulation.End(simulation.decode);
           CPPUNIT_ASSERT(simulation.answer->ended && !simulation.answer->cut);
         }),
-     It("whose caller leaves gives back what it holds",
+     It("whose caller disconnects releases what it holds",
         [] {
           Model simulation;
           simulation.SendRequest("/stream/a", "r1");
@@ -635,18 +670,20 @@
                                simulation.released.back());
           CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
         }),
-     It("that passes its time before anything ran is refused as not run", [] {
-       Model simulation;
-       const auto answer =
-           simulation.SendRequest("/stream/a", "r1", "3000,900", 100);
-       simulation.AdvanceBy(150ms);
-       CPPUNIT_ASSERT_EQUAL(503, answer->status);
-       CPPUNIT_ASSERT(simulation.Calls().empty());
-     })});
+     It("that passes its deadline before anything ran is refused as not run",
+        [] {
+          Model simulation;
+          const auto answer =
+              simulation.SendRequest("/stream/a", "r1", "3000,900", 100);
+          simulation.AdvanceBy(150ms);
+          CPPUNIT_ASSERT_EQUAL(503, answer->status);
+          CPPUNIT_ASSERT(simulation.Calls().empty());
+        })});
 
 const acacialug::testing::Story kRoles(
     "the roles of endpoints",
-    {It("are changed by the first process only, with a turn, after peers heard",
+    {It("are changed by the first process only, with a leader term, after its "
+        "peers were informed",
         [] {
           GatewaySimulation simulation;
           simulation.Configure();
--- a/src/gateway/tests/request_key_test.cc
+++ b/src/gateway/tests/request_key_test.cc
@@ -30,7 +30,7 @@
           again.message.headers.push_back({"Deadline", "3000"});
           CPPUNIT_ASSERT(RequestKeyOf(Request()) == RequestKeyOf(again));
         }),
-     It("is another for another customer, method, host, target or body", [] {
+     It("differs for another customer, method, host, target or body", [] {
        for (const auto& change : std::vector<std::function<void(WorkRequest&)>>{
                 [](WorkRequest& other) { other.customer = CustomerName("c1"); },
                 [](WorkRequest& other) { other.message.method = "PUT"; },
--- a/src/gateway/tests/timer_queue_test.cc
+++ b/src/gateway/tests/timer_queue_test.cc
@@ -13,9 +13,10 @@
 
 using acacialug::testing::It;
 
-// A clock that is looked at each 50 ms at the latest, and what it rang.
-struct Clock {
-  Clock() {
+// A queue that is polled every 50 ms at the latest, and the timers that it
+// fired.
+struct Fixture {
+  Fixture() {
     this->timers.FireDue(this->now);
     this->timers.Set(this->now + 300ms,
                      [this] { this->fired.emplace_back("instant"); });
@@ -33,98 +34,102 @@
   TimerQueue timers{{}};
 };
 
-const acacialug::testing::Story kAlarms(
-    "the alarm clock",
-    {It("rings all that is due when it is looked at in time",
+const acacialug::testing::Story kTimers(
+    "the timer queue",
+    {It("fires all timers that are due when it is polled in time",
         [] {
-          Clock clock;
-          CPPUNIT_ASSERT(clock.FireAfter(310ms) == Duration::zero());
-          CPPUNIT_ASSERT_EQUAL(std::size_t{2}, clock.fired.size());
-          CPPUNIT_ASSERT(clock.timers.next() == kNever);
+          Fixture fixture;
+          CPPUNIT_ASSERT(fixture.FireAfter(310ms) == Duration::zero());
+          CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.fired.size());
+          CPPUNIT_ASSERT(fixture.timers.next() == kNever);
         }),
-     It("rings nothing at first after a standstill, and then what is due",
+     It("fires nothing at first after a stall, and then what is due",
         [] {
-          // Answers that lay unread were thrown away: alarms that were due
-          // during a standstill rang before the sockets were read.
-          Clock clock;
-          CPPUNIT_ASSERT(clock.FireAfter(2s) == Duration(2s));
-          CPPUNIT_ASSERT(clock.fired.empty());
-          CPPUNIT_ASSERT(clock.FireAfter(1ms) == Duration::zero());
-          CPPUNIT_ASSERT(clock.fired == std::vector<std::string>{"instant"});
+          // Guards against answers that wait unread and are discarded, because
+          // timers that are due during a stall fire before the sockets are
+          // read.
+          Fixture fixture;
+          CPPUNIT_ASSERT(fixture.FireAfter(2s) == Duration(2s));
+          CPPUNIT_ASSERT(fixture.fired.empty());
+          CPPUNIT_ASSERT(fixture.FireAfter(1ms) == Duration::zero());
+          CPPUNIT_ASSERT(fixture.fired == std::vector<std::string>{"instant"});
         }),
-     It("takes a standstill for nobody's silence, and goes on with the rest",
+     It("does not count a stall toward a response timeout, and continues with "
+        "the rest",
         [] {
-          Clock clock;
-          clock.FireAfter(2s);
-          clock.FireAfter(1ms);
-          clock.FireAfter(90ms);
-          clock.FireAfter(90ms);
-          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, clock.fired.size());
-          clock.FireAfter(30ms);
-          CPPUNIT_ASSERT(clock.fired ==
+          Fixture fixture;
+          fixture.FireAfter(2s);
+          fixture.FireAfter(1ms);
+          fixture.FireAfter(90ms);
+          fixture.FireAfter(90ms);
+          CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.fired.size());
+          fixture.FireAfter(30ms);
+          CPPUNIT_ASSERT(fixture.fired ==
                          (std::vector<std::string>{"instant", "silence"}));
         }),
-     It("counts the time that reading took after a standstill as one more",
+     It("counts the time that reading took after a stall as another stall",
         [] {
-          Clock clock;
-          clock.FireAfter(2s);
-          CPPUNIT_ASSERT(clock.FireAfter(400ms) == Duration::zero());
-          CPPUNIT_ASSERT(clock.fired == std::vector<std::string>{"instant"});
+          Fixture fixture;
+          fixture.FireAfter(2s);
+          CPPUNIT_ASSERT(fixture.FireAfter(400ms) == Duration::zero());
+          CPPUNIT_ASSERT(fixture.fired == std::vector<std::string>{"instant"});
         }),
-     It("rings what is due though it is looked at late each time",
+     It("fires what is due though it is polled late each time",
         [] {
-          Clock clock;
-          // Else a busy process would hold on to dead endpoints for ever.
-          clock.FireAfter(450ms);
-          clock.FireAfter(450ms);
-          CPPUNIT_ASSERT(clock.fired == std::vector<std::string>{"instant"});
-          clock.FireAfter(450ms);
-          clock.FireAfter(450ms);
-          CPPUNIT_ASSERT(clock.fired ==
+          Fixture fixture;
+          // Otherwise a busy process would keep using dead endpoints forever.
+          fixture.FireAfter(450ms);
+          fixture.FireAfter(450ms);
+          CPPUNIT_ASSERT(fixture.fired == std::vector<std::string>{"instant"});
+          fixture.FireAfter(450ms);
+          fixture.FireAfter(450ms);
+          CPPUNIT_ASSERT(fixture.fired ==
                          (std::vector<std::string>{"instant", "silence"}));
         }),
-     It("does not move a silence that began behind the standstill",
+     It("does not shift a response timer that started after the stall",
         [] {
-          // After a standstill sockets may be read, and endpoints asked, before
-          // the clock is looked at: one that is dead was found out two seconds
-          // late.
-          Clock clock;
-          clock.now += 2s;
-          clock.timers.SetResponseTimer(
-              clock.now, 250ms, [&] { clock.fired.emplace_back("asked"); });
-          clock.FireAfter(1ms);
-          clock.FireAfter(1ms);
-          clock.FireAfter(90ms);
-          clock.FireAfter(90ms);
-          clock.FireAfter(90ms);
-          CPPUNIT_ASSERT(std::find(clock.fired.begin(), clock.fired.end(),
-                                   "asked") != clock.fired.end());
+          // Guards against a dead endpoint that is detected two seconds late.
+          // After a stall, sockets may be read and requests sent to endpoints
+          // before the queue is polled.
+          Fixture fixture;
+          fixture.now += 2s;
+          fixture.timers.SetResponseTimer(
+              fixture.now, 250ms, [&] { fixture.fired.emplace_back("asked"); });
+          fixture.FireAfter(1ms);
+          fixture.FireAfter(1ms);
+          fixture.FireAfter(90ms);
+          fixture.FireAfter(90ms);
+          fixture.FireAfter(90ms);
+          CPPUNIT_ASSERT(std::find(fixture.fired.begin(), fixture.fired.end(),
+                                   "asked") != fixture.fired.end());
         }),
-     It("tells that a time measured across a standstill is its own",
+     It("reports that a time measured across a stall includes the stall",
         [] {
-          // What lay unread is read between the first look after a standstill
-          // and the second, and was learned as the endpoints' time.
-          Clock clock;
-          const Instant before = clock.now;
-          CPPUNIT_ASSERT(!clock.timers.StalledBetween(before, before + 390ms));
-          CPPUNIT_ASSERT(clock.timers.StalledBetween(before, before + 2s));
-          clock.FireAfter(2s);
-          CPPUNIT_ASSERT(clock.timers.StalledBetween(before, clock.now));
-          clock.FireAfter(1ms);
-          CPPUNIT_ASSERT(clock.timers.StalledBetween(before, clock.now));
+          // Guards against a stall that is learned as the endpoints' time: what
+          // waited unread is read between the first poll after a stall and the
+          // second.
+          Fixture fixture;
+          const Instant before = fixture.now;
           CPPUNIT_ASSERT(
-              !clock.timers.StalledBetween(clock.now, clock.now + 50ms));
+              !fixture.timers.StalledBetween(before, before + 390ms));
+          CPPUNIT_ASSERT(fixture.timers.StalledBetween(before, before + 2s));
+          fixture.FireAfter(2s);
+          CPPUNIT_ASSERT(fixture.timers.StalledBetween(before, fixture.now));
+          fixture.FireAfter(1ms);
+          CPPUNIT_ASSERT(fixture.timers.StalledBetween(before, fixture.now));
+          CPPUNIT_ASSERT(
+              !fixture.timers.StalledBetween(fixture.now, fixture.now + 50ms));
         }),
-     It("forgets what is cancelled, also when it was moved", [] {
-       Clock clock;
-       const TimerId silence = clock.timers.SetResponseTimer(
-           clock.now, 300ms, [] { CPPUNIT_FAIL("rang"); });
-       clock.FireAfter(2s);
-       clock.timers.Cancel(silence);
-       for (int look = 0; look < 10; ++look) {
-         clock.FireAfter(90ms);
+     It("does not fire a cancelled timer, even after a shift", [] {
+       Fixture fixture;
+       const TimerId response_timer = fixture.timers.SetResponseTimer(
+           fixture.now, 300ms, [] { CPPUNIT_FAIL("rang"); });
+       fixture.FireAfter(2s);
+       fixture.timers.Cancel(response_timer);
+       for (int poll = 0; poll < 10; ++poll) {
+         fixture.FireAfter(90ms);
        }
-       CPPUNIT_ASSERT(clock.timers.next() == kNever);
+       CPPUNIT_ASSERT(fixture.timers.next() == kNever);
      })});
 
 }  // namespace
