--- a/src/gateway/bench/quota_strategies_bench.cc
+++ b/src/gateway/bench/quota_strategies_bench.cc
@@ -1,6 +1,7 @@
-// Compares ways to hold one limit over many processes, on the same loads and
-// seeds, and prints a table: tokens within the limit that were refused, the
-// fullest window over what may be, and what the processes tell each other.
+// Compares strategies that enforce one limit over many processes, on the same
+// loads and seeds, and prints a table: the share of the tokens within the limit
+// that were refused, the fullest window as a share of what is allowed, and the
+// bytes that the processes report to each other.
 
 #include <algorithm>
 #include <cstdint>
@@ -33,9 +34,11 @@
       {.name = "limit lowered to 0.3",
        .burst_factor = 3,
        .lowered_factor = 0.3},
-      {.name = "steady, 0.35 cut off", .cut_share = 0.35},
-      {.name = "hot x8, half cut off", .burst_factor = 8, .cut_share = 0.5},
-      {.name = "hot x8, all cut off", .burst_factor = 8, .cut_share = 1},
+      {.name = "steady, 0.35 cut off", .isolated_share = 0.35},
+      {.name = "hot x8, half cut off",
+       .burst_factor = 8,
+       .isolated_share = 0.5},
+      {.name = "hot x8, all cut off", .burst_factor = 8, .isolated_share = 1},
       {.name = "steady, all start anew", .all_restart = true},
       {.name = "hot x8, all start anew",
        .burst_factor = 8,
@@ -54,22 +57,22 @@
   double refused = 0;
   double fullest = 0;
   double reported = 0;
-  std::uint64_t finished = 0;
+  std::uint64_t over_bound = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     QuotaCase seeded = quota_case;
     seeded.seed = seed;
     QuotaFleet fleet(seeded, strategy.second);
     fleet.Run();
     refused += fleet.wrongly_refused();
-    reported += fleet.reports_per_second();
-    finished += fleet.fullest_window() > 1 ? 1 : 0;
+    reported += fleet.reported_bytes_per_second();
+    over_bound += fleet.fullest_window() > 1 ? 1 : 0;
     fullest = std::max(fullest, fleet.fullest_window());
   }
   const auto runs = static_cast<double>(seeds);
   std::printf("| %zu | %s | %s | %.4f | %.2f | %llu of %llu | %.0f |\n",
               quota_case.processes, quota_case.name.c_str(), strategy.first,
               refused / runs, fullest,
-              static_cast<unsigned long long>(finished),
+              static_cast<unsigned long long>(over_bound),
               static_cast<unsigned long long>(seeds), reported / runs);
 }
 
--- a/src/gateway/tests/burst_replay_test.cc
+++ b/src/gateway/tests/burst_replay_test.cc
@@ -18,8 +18,8 @@
 using testing::Call;
 using testing::GatewaySimulation;
 
-// A pool in virtual time: decode endpoints that reserve and hold memory, and
-// prefill endpoints that compute one prompt after the other.
+// A pool in virtual time: decode endpoints reserve and hold memory, and each
+// prefill endpoint computes one prompt at a time.
 class Pool : public GatewaySimulation {
  public:
   static constexpr std::uint64_t kMemory = 20000;
@@ -40,30 +40,31 @@
     }
   }
 
-  // Asks at a steady rate for some time.
+  // Sends requests at a steady rate for `time`.
   void Offer(double per_second, Duration time) {
     const Instant end = this->now + time;
     const Duration gap = FromSeconds(1.0 / per_second);
     while (this->now < end) {
-      this->AskNow(14s);
+      this->SendNow(14s);
       this->Run(gap);
     }
   }
 
-  // The same, with callers who come back once when they are told to.
-  void OfferWithReturns(double per_second, Duration time) {
+  // As Offer(), with callers that retry a refused request once, after the time
+  // that the refusal names.
+  void OfferWithRetries(double per_second, Duration time) {
     const Instant end = this->now + time;
     const Duration gap = FromSeconds(1.0 / per_second);
     for (std::size_t seen = 0; this->now < end;) {
-      this->AskNow(14s);
-      for (; seen < this->asked.size(); ++seen) {
-        this->NoteReturn(this->asked[seen]);
+      this->SendNow(14s);
+      for (; seen < this->sent.size(); ++seen) {
+        this->ScheduleRetry(this->sent[seen]);
       }
-      while (!this->returns.empty() &&
-             this->returns.begin()->first <= this->now) {
-        const Instant first_try = this->returns.begin()->second;
-        this->returns.erase(this->returns.begin());
-        this->AskNow(14s - (this->now - first_try));
+      while (!this->retries.empty() &&
+             this->retries.begin()->first <= this->now) {
+        const Instant first_sent_at = this->retries.begin()->second;
+        this->retries.erase(this->retries.begin());
+        this->SendNow(14s - (this->now - first_sent_at));
       }
       this->Run(gap);
     }
@@ -74,39 +75,40 @@
     const Instant end = this->now + time;
     while (this->now < end) {
       this->AdvanceBy(std::min(kStep, end - this->now));
-      this->Play();
+      this->RunEndpoints();
     }
   }
 
-  struct Asked {
+  struct SentRequest {
     Instant at;
     Duration deadline;
     std::shared_ptr<Answer> answer;
   };
-  struct Count {
+  struct Outcomes {
     int in_time = 0;
     int late = 0;
     int refused_at_once = 0;
     int refused_late = 0;
   };
 
-  Count Counts() const {
-    Count count;
-    for (const Asked& one : this->asked) {
+  Outcomes CountOutcomes() const {
+    Outcomes outcomes;
+    for (const SentRequest& request : this->sent) {
       const Duration waited =
-          one.answer->first_byte_at - one.at + (14s - one.deadline);
-      if (one.answer->status == 200) {
-        ++(waited <= 900ms ? count.in_time : count.late);
-      } else if (one.answer->status == 503) {
-        ++(waited <= 112ms ? count.refused_at_once : count.refused_late);
+          request.answer->first_byte_at - request.at + (14s - request.deadline);
+      if (request.answer->status == 200) {
+        ++(waited <= 900ms ? outcomes.in_time : outcomes.late);
+      } else if (request.answer->status == 503) {
+        ++(waited <= 112ms ? outcomes.refused_at_once : outcomes.refused_late);
       }
     }
-    return count;
+    return outcomes;
   }
 
-  std::vector<Asked> asked;
-  // Endpoints that refuse every reservation, and that cannot be reached.
+  std::vector<SentRequest> sent;
+  // Endpoints that refuse every reservation.
   std::set<std::string> leaving;
+  // Endpoints that cannot be reached.
   std::set<std::string> dead;
 
  private:
@@ -115,61 +117,63 @@
     Instant done_at;
   };
 
-  void AskNow(Duration deadline) {
+  void SendNow(Duration deadline) {
     const auto deadline_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(deadline);
-    this->asked.push_back(
+    this->sent.push_back(
         {.at = this->now,
          .deadline = deadline,
          .answer = this->SendRequest(
-             "/stream/a", "r" + std::to_string(this->asked.size()), "3000,900",
+             "/stream/a", "r" + std::to_string(this->sent.size()), "3000,900",
              static_cast<int>(deadline_ms.count()))});
   }
 
-  // Refusals come at once, so that they are seen at the next request.
-  void NoteReturn(const Asked& one) {
-    if (one.answer->status == 503 && one.deadline == 14s) {
-      this->returns.emplace(
-          one.at + FromSeconds(std::stod(one.answer->retry_after)), one.at);
+  // A refusal arrives at once, so it is already there when the next request is
+  // sent.
+  void ScheduleRetry(const SentRequest& request) {
+    if (request.answer->status == 503 && request.deadline == 14s) {
+      this->retries.emplace(
+          request.at + FromSeconds(std::stod(request.answer->retry_after)),
+          request.at);
     }
   }
 
-  void Play() {
+  void RunEndpoints() {
     for (const auto& call : this->Calls()) {
       if (call->request.target.starts_with("/reserve/")) {
-        this->PlayReserve(call);
+        this->AnswerReservation(call);
       } else if (!this->started.contains(call->id)) {
         this->Start(call);
       }
     }
-    const auto works = this->work;
-    for (const auto& [id, one] : works) {
-      if (one.done_at <= this->now) {
+    const auto running = this->work;
+    for (const auto& [id, item] : running) {
+      if (item.done_at <= this->now) {
         this->work.erase(id);
-        this->Complete(one.call);
+        this->Complete(item.call);
       }
     }
   }
 
-  void PlayReserve(const std::shared_ptr<Call>& call) {
-    const std::uint64_t wanted = std::stoull(
+  void AnswerReservation(const std::shared_ptr<Call>& call) {
+    const std::uint64_t kv_tokens = std::stoull(
         call->request.target.substr(std::string("/reserve/").size()));
-    if (this->IsIn(this->dead, call)) {
+    if (this->Contains(this->dead, call)) {
       this->Break(call, false);
       return;
     }
     std::uint64_t& used = this->memory[call->address];
-    if (used + wanted > kMemory || this->IsIn(this->leaving, call)) {
+    if (used + kv_tokens > kMemory || this->Contains(this->leaving, call)) {
       this->Reply(call, 503, {});
       return;
     }
-    used += wanted;
-    this->reserved[call->address].push_back(wanted);
+    used += kv_tokens;
+    this->reserved[call->address].push_back(kv_tokens);
     this->Reply(call, 200, {}, "v");
   }
 
-  bool IsIn(const std::set<std::string>& endpoints,
-            const std::shared_ptr<Call>& call) const {
+  bool Contains(const std::set<std::string>& endpoints,
+                const std::shared_ptr<Call>& call) const {
     return std::any_of(endpoints.begin(), endpoints.end(),
                        [&](const std::string& id) {
                          return this->addresses.at(id) == call->address;
@@ -199,13 +203,14 @@
       this->Reply(call, 200, {}, "x");
       return;
     }
-    std::vector<std::uint64_t>& held = this->reserved[call->address];
-    this->memory[call->address] -= held.front();
-    held.erase(held.begin());
+    std::vector<std::uint64_t>& reservations = this->reserved[call->address];
+    this->memory[call->address] -= reservations.front();
+    reservations.erase(reservations.begin());
     this->End(call);
   }
 
-  std::multimap<Instant, Instant> returns;  // when, and its first try
+  // The time of each request's first attempt, by the time of its retry.
+  std::multimap<Instant, Instant> retries;
   std::map<http::Address, std::uint64_t> memory;
   std::map<http::Address, std::vector<std::uint64_t>> reserved;
   std::map<http::Address, Instant> busy_until;
@@ -213,97 +218,99 @@
   std::map<http::Client::ExchangeId, Work> work;
 };
 
-// Six decode endpoints hold five streams each, and end nine a second.
+// Six decode endpoints hold five streams each and finish nine streams a
+// second.
 constexpr int kEndpoints = 6;
 
 const acacialug::testing::Story kStory(
     "a pool whose decode memory runs out",
-    {It("serves a load within its capacity in time, and refuses nobody",
+    {It("serves a load within its capacity in time, and refuses no request",
         [] {
           Pool pool(kEndpoints);
           pool.Offer(7.0, 12s);
           pool.Run(5s);
-          const Pool::Count count = pool.Counts();
-          CPPUNIT_ASSERT_EQUAL(static_cast<int>(pool.asked.size()),
-                               count.in_time);
+          const Pool::Outcomes outcomes = pool.CountOutcomes();
+          CPPUNIT_ASSERT_EQUAL(static_cast<int>(pool.sent.size()),
+                               outcomes.in_time);
         }),
      It("in a burst of twice its capacity serves what fits in time, and "
-        "refuses "
-        "the rest at once",
+        "refuses the rest at once",
         [] {
-          // Symptom: in a burst everybody is late, and many are refused after
-          // waiting. Sequence: a queue as long as the burst, in order of
-          // arrival. Cause: requests let in that could not begin in time.
+          // Guards against a burst in which every request is late and many are
+          // refused after a wait: a queue in order of arrival grows as long as
+          // the burst, because it admits requests that cannot start in time.
           Pool pool(kEndpoints);
           pool.Offer(7.0, 4s);
           pool.Offer(18.0, 5s);
           pool.Offer(7.0, 6s);
           pool.Run(5s);
-          const Pool::Count count = pool.Counts();
-          const int asked = static_cast<int>(pool.asked.size());
+          const Pool::Outcomes outcomes = pool.CountOutcomes();
+          const int sent_count = static_cast<int>(pool.sent.size());
           const double possible = 7.0 * 4 + 9.0 * 5 + 7.0 * 6;
-          CPPUNIT_ASSERT(count.in_time >= 0.85 * possible);
-          CPPUNIT_ASSERT_EQUAL(0, count.refused_late);
-          CPPUNIT_ASSERT(count.late <= asked / 50);
+          CPPUNIT_ASSERT(outcomes.in_time >= 0.85 * possible);
+          CPPUNIT_ASSERT_EQUAL(0, outcomes.refused_late);
+          CPPUNIT_ASSERT(outcomes.late <= sent_count / 50);
         }),
-     It("after a burst serves first tries, not those who come back from it",
+     It("after a burst serves first attempts, not retries from the burst",
         [] {
-          // Symptom: for as long after a burst as it lasted, and longer, first
-          // tries are refused at a load that fits. Sequence: who was refused in
-          // the burst comes back after it, and is late; it takes a place; who
-          // finds none comes back in its turn. Cause: places given to whoever
-          // comes first, though only some can be in time.
+          // Guards against first attempts that are refused at a load within
+          // capacity, for longer after a burst than the burst lasted. A request
+          // refused in the burst is retried after it, takes a slot and is late;
+          // a request that finds no slot is retried in its turn. The cause is
+          // that slots go to requests in order of arrival, though only some of
+          // the requests can be in time.
           Pool pool(kEndpoints);
-          pool.OfferWithReturns(7.0, 4s);
-          pool.OfferWithReturns(18.0, 5s);
-          const std::size_t before = pool.asked.size();
-          pool.OfferWithReturns(8.5, 12s);
+          pool.OfferWithRetries(7.0, 4s);
+          pool.OfferWithRetries(18.0, 5s);
+          const std::size_t before = pool.sent.size();
+          pool.OfferWithRetries(8.5, 12s);
           pool.Run(5s);
-          int first_tries = 0;
+          int first_attempts = 0;
           int in_time = 0;
-          for (std::size_t at = before; at < pool.asked.size(); ++at) {
-            const Pool::Asked& one = pool.asked[at];
-            const bool first = one.deadline == 14s;
-            first_tries += first ? 1 : 0;
-            in_time += first && one.answer->status == 200 &&
-                               one.answer->first_byte_at - one.at <= 900ms
-                           ? 1
-                           : 0;
+          for (std::size_t at = before; at < pool.sent.size(); ++at) {
+            const Pool::SentRequest& request = pool.sent[at];
+            const bool first = request.deadline == 14s;
+            first_attempts += first ? 1 : 0;
+            in_time +=
+                first && request.answer->status == 200 &&
+                        request.answer->first_byte_at - request.at <= 900ms
+                    ? 1
+                    : 0;
           }
-          CPPUNIT_ASSERT(in_time >= first_tries * 95 / 100);
+          CPPUNIT_ASSERT(in_time >= first_attempts * 95 / 100);
         }),
-     It("loses nothing by endpoints that leave and refuse all work",
+     It("loses no request to endpoints that leave and refuse all work",
         [] {
-          // Symptom: callers are refused while half of the pool's memory is
-          // free. Sequence: a store outage hides that endpoints leave; they
-          // refuse every reservation, look empty, and are asked first; after
-          // three refusals the pool is taken as full. Cause: a refusal by an
-          // empty endpoint counted as a sign of a full pool.
+          // Guards against callers that are refused while half of the pool's
+          // memory is free. A store outage hides that endpoints leave; they
+          // refuse every reservation, look empty, and get the first requests;
+          // after three refusals the pool counts as full. The cause is that a
+          // refusal by an empty endpoint counts as a sign of a full pool.
           Pool pool(10);
           pool.leaving = {"d0", "d1", "d2", "d3"};
           pool.Offer(7.0, 8s);
           pool.Run(5s);
-          CPPUNIT_ASSERT_EQUAL(static_cast<int>(pool.asked.size()),
-                               pool.Counts().in_time);
+          CPPUNIT_ASSERT_EQUAL(static_cast<int>(pool.sent.size()),
+                               pool.CountOutcomes().in_time);
         }),
-     It("loses nothing by endpoints that are dead and still listed",
+     It("loses no request to endpoints that are dead and still listed",
         [] {
-          // Symptom and cause as above, with connections refused by hosts that
-          // have crashed.
+          // Guards against the same fault as the test above, when crashed hosts
+          // refuse connections.
           Pool pool(10);
           pool.dead = {"d0", "d1", "d2", "d3"};
           pool.Offer(7.0, 8s);
           pool.Run(5s);
-          CPPUNIT_ASSERT_EQUAL(static_cast<int>(pool.asked.size()),
-                               pool.Counts().in_time);
+          CPPUNIT_ASSERT_EQUAL(static_cast<int>(pool.sent.size()),
+                               pool.CountOutcomes().in_time);
         }),
-     It("without a burst's end goes on serving what it can", [] {
+     It("keeps serving what it can in a burst that does not end", [] {
        Pool pool(kEndpoints);
        pool.Offer(20.0, 15s);
        pool.Run(5s);
-       const Pool::Count count = pool.Counts();
-       CPPUNIT_ASSERT(count.in_time >= 0.85 * 9.0 * 15);
-       CPPUNIT_ASSERT_EQUAL(0, count.refused_late);
+       const Pool::Outcomes outcomes = pool.CountOutcomes();
+       CPPUNIT_ASSERT(outcomes.in_time >= 0.85 * 9.0 * 15);
+       CPPUNIT_ASSERT_EQUAL(0, outcomes.refused_late);
      })});
 
 }  // namespace
--- a/src/gateway/tests/customer_test.cc
+++ b/src/gateway/tests/customer_test.cc
@@ -15,8 +15,8 @@
 using testing::GatewaySimulation;
 using testing::HeaderOf;
 
-// So many requests of the default size.
-constexpr double kTokens = 3900;
+// The tokens of a request of the default size.
+constexpr double kRequestTokens = 3900;
 
 std::vector<Customer> Customers(double per_second = 0, double burst = 0) {
   return {{.name = CustomerName("first"),
@@ -28,23 +28,24 @@
           {.name = CustomerName("second"), .keys = {DigestOf("key 3")}}};
 }
 
-struct Keyed : GatewaySimulation {
-  explicit Keyed(const std::vector<Customer>& customers = Customers()) {
+struct KeyedSimulation : GatewaySimulation {
+  explicit KeyedSimulation(
+      const std::vector<Customer>& customers = Customers()) {
     this->Configure(customers);
     for (const char* const id : {"p1", "p2", "p3", "p4", "p5"}) {
       this->AddEndpoint(id, "plain", EndpointRole::kPlain);
     }
   }
 
-  std::shared_ptr<Answer> SendRequestWith(const std::string& shown,
+  std::shared_ptr<Answer> SendRequestWith(const std::string& key_text,
                                           const std::string& path,
                                           const std::string& id) {
-    this->key = shown;
+    this->key = key_text;
     return this->SendRequest(path, id);
   }
-  // One of a call that is answered at once.
-  int Status(const std::string& shown, const std::string& id) {
-    const auto answer = this->SendRequestWith(shown, "/once/a", id);
+  // Sends a request that its endpoint answers at once, and returns the status.
+  int Status(const std::string& key_text, const std::string& id) {
+    const auto answer = this->SendRequestWith(key_text, "/once/a", id);
     if (!answer->ended) {
       this->ReplyProof(this->Find("whole"), 200);
     }
@@ -54,12 +55,12 @@
 
 const acacialug::testing::Story kKeys(
     "a request on a route that needs a key",
-    {It("is refused at once without one, or with one that nobody holds",
+    {It("is refused at once without a key, or with a key of no customer",
         [] {
-          Keyed simulation;
-          for (const char* const shown : {"", "key 4", "key 1 "}) {
+          KeyedSimulation simulation;
+          for (const char* const key_text : {"", "key 4", "key 1 "}) {
             const auto answer =
-                simulation.SendRequestWith(shown, "/once/a", "r");
+                simulation.SendRequestWith(key_text, "/once/a", "r");
             CPPUNIT_ASSERT_EQUAL(401, answer->status);
           }
           CPPUNIT_ASSERT(simulation.Calls().empty());
@@ -68,15 +69,15 @@
         }),
      It("reaches an endpoint with its customer's name, and without its key",
         [] {
-          Keyed simulation;
+          KeyedSimulation simulation;
           simulation.SendRequestWith("key 2", "/once/a", "r1");
           CPPUNIT_ASSERT_EQUAL(std::string("first"),
                                HeaderOf(simulation.Find("whole"), "Customer"));
           CPPUNIT_ASSERT(HeaderOf(simulation.Find("whole"), "Key").empty());
         }),
-     It("goes by the keys of the configuration in force",
+     It("is checked against the keys of the active configuration",
         [] {
-          Keyed simulation;
+          KeyedSimulation simulation;
           std::vector<Customer> fewer = Customers();
           fewer[0].keys.pop_back();
           fewer[1].keys.push_back(DigestOf("key 4"));
@@ -85,14 +86,14 @@
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r2"));
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 4", "r3"));
         }),
-     It("needs none where the configuration has no customers",
+     It("needs no key where the configuration has no customers",
         [] {
-          Keyed simulation;
+          KeyedSimulation simulation;
           simulation.Configure();
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("", "r1"));
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r2"));
         }),
-     It("is not known before there is a configuration, and may come again", [] {
+     It("is refused as retryable before there is a configuration", [] {
        GatewaySimulation simulation;
        simulation.key = "key 1";
        CPPUNIT_ASSERT_EQUAL(503,
@@ -103,7 +104,7 @@
     "a request on a route that is open to all",
     {It("needs no key",
         [] {
-          Keyed simulation;
+          KeyedSimulation simulation;
           simulation.SendRequestWith("", "/open/a", "r1");
           CPPUNIT_ASSERT(
               HeaderOf(simulation.Find("whole"), "Customer").empty());
@@ -111,18 +112,19 @@
           CPPUNIT_ASSERT(
               HeaderOf(simulation.Find("whole"), "Customer").empty());
         }),
-     It("is its customer's if it shows a key", [] {
-       Keyed simulation;
+     It("belongs to the customer whose key it carries", [] {
+       KeyedSimulation simulation;
        simulation.SendRequestWith("key 3", "/open/a", "r1");
        CPPUNIT_ASSERT_EQUAL(std::string("second"),
                             HeaderOf(simulation.Find("whole"), "Customer"));
      })});
 
 const acacialug::testing::Story kApart(
-    "of two customers that send the same request",
-    // Guards against: one customer's crashes refuse another's request.
-    {It("one under which endpoints end leaves the other's served", [] {
-      Keyed simulation;
+    "a request that two customers send",
+    // Guards against refusing one customer's request for the crashes under
+    // another customer's request.
+    {It("is served for one while endpoints end under the other's", [] {
+      KeyedSimulation simulation;
       for (const char* const id : {"r1", "r2", "r3"}) {
         simulation.SendRequestWith("key 1", "/once/a", id);
         simulation.Break(simulation.Find("whole"));
@@ -134,31 +136,34 @@
 
 const acacialug::testing::Story kLimits(
     "a customer with a limit",
-    {It("is refused beyond it, at once, with the time at which it has room",
+    {It("is refused beyond it at once, with the time until a request fits",
         [] {
-          Keyed simulation(Customers(kTokens, 2 * kTokens));
-          // A new process does not know what was taken before.
+          KeyedSimulation simulation(
+              Customers(kRequestTokens, 2 * kRequestTokens));
+          // A new process does not know how many tokens were taken before.
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r1"));
-          const auto finished =
+          const auto over_limit =
               simulation.SendRequestWith("key 2", "/once/a", "r2");
-          CPPUNIT_ASSERT_EQUAL(429, finished->status);
-          CPPUNIT_ASSERT_EQUAL(std::string("1.00"), finished->retry_after);
+          CPPUNIT_ASSERT_EQUAL(429, over_limit->status);
+          CPPUNIT_ASSERT_EQUAL(std::string("1.00"), over_limit->retry_after);
           CPPUNIT_ASSERT(simulation.Calls().empty());
           simulation.AdvanceBy(1010ms);
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 2", "r3"));
           CPPUNIT_ASSERT_EQUAL(429, simulation.Status("key 1", "r4"));
         }),
-     It("leaves other customers alone",
+     It("does not affect other customers",
         [] {
-          Keyed simulation(Customers(kTokens, 2 * kTokens));
+          KeyedSimulation simulation(
+              Customers(kRequestTokens, 2 * kRequestTokens));
           simulation.Status("key 1", "r1");
           for (const char* const id : {"s1", "s2", "s3", "s4"}) {
             CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 3", id));
           }
         }),
-     It("gets back what was taken for a request that ran nowhere",
+     It("is refunded for a request that ran nowhere",
         [] {
-          Keyed simulation(Customers(kTokens, 2 * kTokens));
+          KeyedSimulation simulation(
+              Customers(kRequestTokens, 2 * kRequestTokens));
           for (const char* const id : {"p1", "p2", "p3", "p4", "p5"}) {
             simulation.RemoveEndpoint(id);
           }
@@ -167,32 +172,36 @@
           simulation.AddEndpoint("p6", "plain", EndpointRole::kPlain);
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r3"));
         }),
-     It("pays for one that may have run",
+     It("is charged for a request that may have run",
         [] {
-          Keyed simulation(Customers(kTokens, 2 * kTokens));
+          KeyedSimulation simulation(
+              Customers(kRequestTokens, 2 * kRequestTokens));
           const auto lost =
               simulation.SendRequestWith("key 1", "/once/a", "r1");
           simulation.Break(simulation.Find("whole"));
           CPPUNIT_ASSERT_EQUAL(502, lost->status);
           CPPUNIT_ASSERT_EQUAL(429, simulation.Status("key 1", "r2"));
         }),
-     It("pays once for a request that is sent to a second endpoint",
+     It("is charged once for a request that is sent to a second endpoint",
         [] {
-          Keyed simulation(Customers(kTokens, 4 * kTokens));
+          KeyedSimulation simulation(
+              Customers(kRequestTokens, 4 * kRequestTokens));
           simulation.SendRequestWith("key 1", "/idempotent/a", "r1");
           simulation.Break(simulation.Find("whole"));
           simulation.ReplyProof(simulation.Find("whole"), 200);
           CPPUNIT_ASSERT_EQUAL(200, simulation.Status("key 1", "r2"));
           CPPUNIT_ASSERT_EQUAL(429, simulation.Status("key 1", "r3"));
         }),
-     It("is told its limit apart from an overloaded service", [] {
-       Keyed simulation(Customers(kTokens, 2 * kTokens));
-       simulation.Status("key 1", "r1");
-       const auto finished =
-           simulation.SendRequestWith("key 1", "/once/a", "r2");
-       CPPUNIT_ASSERT(finished->body.find("caller_over_limit") !=
-                      std::string::npos);
-     })});
+     It("gets an error code that differs from that of an overloaded service",
+        [] {
+          KeyedSimulation simulation(
+              Customers(kRequestTokens, 2 * kRequestTokens));
+          simulation.Status("key 1", "r1");
+          const auto over_limit =
+              simulation.SendRequestWith("key 1", "/once/a", "r2");
+          CPPUNIT_ASSERT(over_limit->body.find("caller_over_limit") !=
+                         std::string::npos);
+        })});
 
 }  // namespace
 }  // namespace acacialug::gateway
--- a/src/gateway/tests/heartbeat_interval.h
+++ b/src/gateway/tests/heartbeat_interval.h
@@ -7,8 +7,9 @@
 
 namespace acacialug::gateway::testing {
 
-// Between two heartbeats of one of so many processes, evenly spread over the
-// failure domains, to those of its own domain or to all others.
+// Returns the time between two heartbeats that a process sends to the peers of
+// its own failure domain (`near`), or to all other peers, when `processes` are
+// spread evenly over the domains.
 inline Duration HeartbeatInterval(std::size_t processes,
                                   std::size_t domains,
                                   bool near) {
--- a/src/gateway/tests/late_request_test.cc
+++ b/src/gateway/tests/late_request_test.cc
@@ -13,14 +13,14 @@
 using acacialug::testing::Section;
 using testing::GatewaySimulation;
 
-// Keeps the status it was answered with.
+// Records the status of the answer.
 class StatusResponder : public http::Responder {
  public:
   void SendWhole(const http::Response& response) override {
     this->status = response.status;
   }
-  void BeginStream(int begun, const http::Headers& /*headers*/) override {
-    this->status = begun;
+  void BeginStream(int head_status, const http::Headers& /*headers*/) override {
+    this->status = head_status;
   }
   void SendData(std::string_view /*data*/) override {}
   void EndStream() override {}
@@ -33,8 +33,8 @@
   int status = 0;
 };
 
-// A gateway that gets a request with a deadline of 1,000 ms after that request
-// has lain unread for `age`.
+// A gateway that reads a request with a deadline of 1,000 ms after the request
+// has waited unread for `age`.
 struct LateRequest : GatewaySimulation {
   explicit LateRequest(const std::string& path, Duration age) {
     this->Configure();
@@ -62,11 +62,11 @@
   return path;
 }
 
-// A gateway that had stood still handed on, with each request that lay in its
-// sockets, the whole time that the caller had given it; endpoints worked on
-// requests that their callers had given up.
+// Guards against a gateway that, after a process stall, forwards each request
+// that waited in its sockets with the whole time that the caller allowed:
+// endpoints then work on requests that their callers have given up.
 const Section kTimeLeft = ForEach<std::string>(
-    "hands on only the time that is left to",
+    "forwards only the time that is left",
     {"/once/a", "/idempotent/a"},
     PathName,
     [](const std::string& path) {
@@ -80,7 +80,7 @@
     });
 
 const Section kNoTimeLeft = ForEach<std::string>(
-    "refuses as not run what has no time left for",
+    "refuses a request without time left as not run",
     kPaths,
     PathName,
     [](const std::string& path) {
--- a/src/gateway/tests/many_processes_test.cc
+++ b/src/gateway/tests/many_processes_test.cc
@@ -25,11 +25,12 @@
 using testing::Timeline;
 
 constexpr Instant kStart{1h};
-constexpr Duration kOneWay = 1500us;
+constexpr Duration kOneWayDelay = 1500us;
 constexpr std::size_t kDomains = 6;
 constexpr std::size_t kDecode = 104;
 constexpr std::size_t kPrefill = 56;
-constexpr std::uint32_t kMaxFull = 3;  // refusals until one is turned away
+// A generation is rejected after this number of refused reservations.
+constexpr std::uint32_t kMaxRefusals = 3;
 const EngineTraits kEngine{.slots = 64, .kv_tokens = 26000};
 const GenerationSize kSize{.prompt_tokens = 3000,
                            .max_output_tokens = 900,
@@ -39,8 +40,8 @@
   return FailureDomain(std::to_string(number % kDomains));
 }
 
-// Processes that place work at one pool and tell each other of it, as the
-// gateways do: with each peer more, each is told less often.
+// Processes that place work at one pool and report it to each other, as the
+// gateways do: the more peers there are, the less often each gets a report.
 class Processes {
  public:
   struct Process {
@@ -60,27 +61,27 @@
     for (std::size_t number = 0; number < count; ++number) {
       for (const bool near : {true, false}) {
         this->time.At(
-            kStart + FromSeconds(Seconds(this->Interval(near)) *
+            kStart + FromSeconds(Seconds(this->HeartbeatInterval(near)) *
                                  this->random.Unit()),
             [this, number, near] { this->SendHeartbeat(number, near); });
       }
     }
   }
 
-  Process& Any(RandomSource& source) {
+  Process& PickAny(RandomSource& source) {
     return *this->all[source.Below(this->all.size())];
   }
 
  private:
-  Duration Interval(bool near) const {
+  Duration HeartbeatInterval(bool near) const {
     return testing::HeartbeatInterval(this->all.size(), kDomains, near);
   }
 
-  // To those of its own domain, or to all others.
+  // Sends to the peers of its own domain (`near`), or to all other peers.
   void SendHeartbeat(std::size_t number, bool near) {
     PeerLoad load = this->all[number]->load_table.Own();
     load.near = near;
-    this->time.At(this->time.now + kOneWay, [this, number, load] {
+    this->time.At(this->time.now + kOneWayDelay, [this, number, load] {
       for (std::size_t to = 0; to < this->all.size(); ++to) {
         if (to != number && (DomainOf(to) == DomainOf(number)) == load.near) {
           this->all[to]->load_table.SetPeer(std::to_string(number), load,
@@ -88,7 +89,7 @@
         }
       }
     });
-    this->time.At(this->time.now + this->Interval(near),
+    this->time.At(this->time.now + this->HeartbeatInterval(near),
                   [this, number, near] { this->SendHeartbeat(number, near); });
   }
 
@@ -99,18 +100,19 @@
 
 using Process = Processes::Process;
 
-// Generations. Endpoints are asked for memory, which only they know exactly.
+// Processes that place generations. They request memory from the endpoints, as
+// only an endpoint knows its free memory exactly.
 class Fleet {
  public:
   struct Options {
     std::size_t processes = 1;
-    double load = 0.8;  // share of what the decode endpoints can end
+    double load = 0.8;  // share of what the decode endpoints can finish
   };
 
   struct Count {
-    int asked = 0;
-    int placed = 0;   // and in time
-    int refused = 0;  // reservations, by endpoints that were full
+    int arrived = 0;
+    int in_time = 0;  // generations with their first event in time
+    int refused = 0;  // reservations that full endpoints refused
   };
 
   explicit Fleet(Options fleet_options) : options(fleet_options) {
@@ -128,10 +130,10 @@
     this->Arrive();
   }
 
-  Count Run(Duration time_to_run) {
+  Count Run(Duration duration) {
     this->time.RunUntil(kStart + kWarmUp);
     this->count = {};
-    this->time.RunUntil(kStart + kWarmUp + time_to_run);
+    this->time.RunUntil(kStart + kWarmUp + duration);
     return this->count;
   }
 
@@ -140,32 +142,33 @@
 
   struct Generation {
     Process* at;
-    Instant asked;
+    Instant arrived_at;
     std::vector<EndpointId> tried;
   };
   using GenerationPtr = std::shared_ptr<Generation>;
 
-  Duration Hold() const {
+  Duration HoldTime() const {
     return this->forecast.PrefillTime(kSize.prompt_tokens) +
            this->forecast.FirstEvent() +
            FromSeconds(kSize.expected_output_tokens * this->forecast.TokenMs() /
                        1000);
   }
 
-  double TokensOf() const {
+  double KvTokensPerGeneration() const {
     return static_cast<double>(
         StreamPlacement({}, LoadTable(), EndpointHealth()).KvTokens(kSize));
   }
 
   void Arrive() {
     const double rate = this->options.load * kDecode * kEngine.kv_tokens /
-                        this->TokensOf() / Seconds(this->Hold());
+                        this->KvTokensPerGeneration() /
+                        Seconds(this->HoldTime());
     const Duration gap = FromSeconds(this->arrivals.Exponential(1 / rate));
     this->time.At(this->time.now + gap, [this] {
-      ++this->count.asked;
+      ++this->count.arrived;
       this->Place(std::make_shared<Generation>(
-          Generation{.at = &this->processes.Any(this->arrivals),
-                     .asked = this->time.now}));
+          Generation{.at = &this->processes.PickAny(this->arrivals),
+                     .arrived_at = this->time.now}));
       this->Arrive();
     });
   }
@@ -174,7 +177,7 @@
     const auto placement = generation->at->streams.Pick(
         {.size = kSize,
          .objective = 900ms,
-         .waited = this->time.now - generation->asked,
+         .waited = this->time.now - generation->arrived_at,
          .tried = generation->tried,
          .domain = generation->at->domain,
          .now = this->time.now},
@@ -188,20 +191,20 @@
       generation->at->load_table.Add(placement->prefill->id,
                                      placement->prefill_load);
     }
-    this->time.At(this->time.now + kOneWay,
+    this->time.At(this->time.now + kOneWayDelay,
                   [this, generation, placement = *placement] {
                     this->Reserve(generation, placement);
                   });
   }
 
-  // At the endpoint.
+  // Runs at the endpoint.
   void Reserve(const GenerationPtr& generation,
                const StreamPlacement::Placement& placement) {
     std::uint64_t& held = this->held[placement.decode.id];
     const bool granted =
         held + placement.decode_load.kv_tokens <= kEngine.kv_tokens;
     held += granted ? placement.decode_load.kv_tokens : 0;
-    this->time.At(this->time.now + kOneWay,
+    this->time.At(this->time.now + kOneWayDelay,
                   [this, generation, placement, granted] {
                     if (granted) {
                       this->Prefill(generation, placement);
@@ -221,12 +224,12 @@
       process.load_table.Remove(placement.prefill->id, placement.prefill_load);
     }
     generation->tried.push_back(placement.decode.id);
-    if (generation->tried.size() < kMaxFull) {
+    if (generation->tried.size() < kMaxRefusals) {
       this->Place(generation);
     }
   }
 
-  // One prompt after the other.
+  // An endpoint computes one prompt at a time.
   void Prefill(const GenerationPtr& generation,
                const StreamPlacement::Placement& placement) {
     const EndpointId at =
@@ -245,12 +248,12 @@
 
   void Decode(const GenerationPtr& generation,
               const StreamPlacement::Placement& placement) {
-    const Duration first =
-        this->time.now + this->forecast.FirstEvent() - generation->asked;
-    this->count.placed += first <= 900ms ? 1 : 0;
-    const Duration lifetime =
-        FromSeconds(Seconds(this->Hold()) * (0.5 + this->random.Unit()));
-    this->time.At(this->time.now + lifetime, [this, generation, placement] {
+    const Duration first_event_after =
+        this->time.now + this->forecast.FirstEvent() - generation->arrived_at;
+    this->count.in_time += first_event_after <= 900ms ? 1 : 0;
+    const Duration decode_time =
+        FromSeconds(Seconds(this->HoldTime()) * (0.5 + this->random.Unit()));
+    this->time.At(this->time.now + decode_time, [this, generation, placement] {
       this->held[placement.decode.id] -= placement.decode_load.kv_tokens;
       generation->at->load_table.Remove(placement.decode.id,
                                         placement.decode_load);
@@ -260,17 +263,19 @@
   const Options options;
   const forecast::ServiceForecast forecast;
   RandomSource random{11};
-  RandomSource arrivals{12};  // the same for any number of processes
+  RandomSource arrivals{12};  // the same arrivals for any number of processes
   Timeline time{kStart};
   Processes processes{this->options.processes, this->time, this->random};
   std::vector<EndpointRecord> records;
   std::vector<const EndpointRecord*> endpoints;
-  std::map<EndpointId, std::uint64_t> held;  // as the endpoints know it
+  // KV tokens that are reserved at each endpoint, as the endpoint counts them.
+  std::map<EndpointId, std::uint64_t> held;
   std::map<EndpointId, Instant> free_at;
   Count count;
 };
 
-// Plain requests, at a few endpoints of some slots each.
+// Processes that place plain requests at one endpoint of each domain, with
+// `kSlots` slots each.
 class Calls {
  public:
   Calls(std::size_t count, double load) : processes(count, time, random) {
@@ -286,9 +291,10 @@
     this->Arrive(FromSeconds(Seconds(kWork) / (load * kSlots * kDomains)));
   }
 
-  // Share of them that had an answer within five times their work.
-  double InTime(Duration time_to_run) {
-    this->time.RunUntil(kStart + time_to_run);
+  // Returns the share of the requests that were answered within five times the
+  // time of their work.
+  double InTime(Duration duration) {
+    this->time.RunUntil(kStart + duration);
     return static_cast<double>(this->in_time) / this->ended;
   }
 
@@ -300,7 +306,7 @@
     const Duration gap =
         FromSeconds(this->arrivals.Exponential(Seconds(mean_gap)));
     this->time.At(this->time.now + gap, [this, mean_gap] {
-      this->Place(this->processes.Any(this->arrivals));
+      this->Place(this->processes.PickAny(this->arrivals));
       this->Arrive(mean_gap);
     });
   }
@@ -319,10 +325,10 @@
     const auto slot = std::min_element(slots.begin(), slots.end());
     *slot = std::max(*slot, this->time.now) + kWork;
     this->time.At(
-        *slot, [this, &at, id = endpoint->id, asked = this->time.now] {
+        *slot, [this, &at, id = endpoint->id, arrived_at = this->time.now] {
           at.load_table.Remove(id, {.requests = 1});
           ++this->ended;
-          this->in_time += this->time.now - asked <= 5 * kWork ? 1 : 0;
+          this->in_time += this->time.now - arrived_at <= 5 * kWork ? 1 : 0;
         });
   }
 
@@ -338,17 +344,18 @@
 };
 
 double ServedShare(const Fleet::Count& count) {
-  return static_cast<double>(count.placed) / count.asked;
+  return static_cast<double>(count.in_time) / count.arrived;
 }
 
 std::string Text(const Fleet::Count& count) {
-  return std::to_string(count.placed) + " of " + std::to_string(count.asked) +
-         " in time, " + std::to_string(count.refused) + " refused";
+  return std::to_string(count.in_time) + " of " +
+         std::to_string(count.arrived) + " in time, " +
+         std::to_string(count.refused) + " refused";
 }
 
 const acacialug::testing::Story kStory(
-    "a hundred processes that place at one pool",
-    {It("choose evenly by old news, and the least load by fresh ones",
+    "a hundred processes that place work at one pool",
+    {It("choose evenly by stale load data, and the least load by fresh data",
         [] {
           RandomSource random(1);
           const std::vector<double> loads{0.5, 0.1, 0.3, 0.9};
@@ -370,7 +377,7 @@
             CPPUNIT_ASSERT(times > 900 && times < 1100);
           }
         }),
-     It("tell their neighbours more often than the others, and no more in all",
+     It("report to neighbours more often than to others, and no more in total",
         [] {
           for (const std::size_t peers : {1, 5, 24, 25, 26, 102, 749}) {
             for (const std::size_t near : {peers / 6, peers / 2, peers}) {
@@ -389,12 +396,13 @@
         }),
      It("serve a load that fits nearly as well as one process would",
         [] {
-          // Symptom: with 103 processes every second reservation is refused by
-          // an endpoint that is full, and callers are turned away, while a
-          // fifth of the pool is free. Sequence: each hears of the others'
-          // placements 0.4 s late; all choose the few endpoints that looked
-          // emptiest; these are overfull until the next news, when others are.
-          // Cause: the least of many old figures is the most wrong one.
+          // Guards against a fault of 103 processes: full endpoints refuse
+          // every second reservation, and callers are rejected, while a fifth
+          // of the pool is free. Each process receives the placements of its
+          // peers 0.4 s late, and all choose the few endpoints that looked
+          // emptiest. These are overfull until the next report, when others
+          // are. The cause is that the least of many stale figures is the one
+          // with the largest error.
           const Fleet::Count one = Fleet({.processes = 1}).Run(8s);
           for (const std::size_t processes : {5, 22, 103}) {
             const Fleet::Count many = Fleet({.processes = processes}).Run(8s);
@@ -402,17 +410,18 @@
                 std::to_string(processes) + ": " + Text(many);
             CPPUNIT_ASSERT_MESSAGE(
                 text, ServedShare(many) >= ServedShare(one) - 0.02);
-            CPPUNIT_ASSERT_MESSAGE(text, many.refused <= many.asked / 2);
+            CPPUNIT_ASSERT_MESSAGE(text, many.refused <= many.arrived / 2);
           }
         }),
-     It("answer plain requests in time though these end before peers hear of "
-        "them",
+     It("answer plain requests in time though these end before peers receive "
+        "a report of them",
         [] {
-          // Symptom: at three quarters of the slots in use a tenth of the plain
-          // requests is late with 103 processes, and none with five. Sequence:
-          // a request is over before the next heartbeat; the endpoint that had
-          // few at the last one gets all until the next. Cause: news that are
-          // older than the work were taken for the present.
+          // Guards against a fault with three quarters of the slots in use: a
+          // tenth of the plain requests is late with 103 processes, and none
+          // with five. A request finishes before the next heartbeat, and the
+          // endpoint that had few requests at the last heartbeat gets all of
+          // them until the next. The cause is that reports older than the work
+          // are taken as the present load.
           const double one = Calls(1, 0.75).InTime(20s);
           for (const std::size_t processes : {5, 22, 103}) {
             const double many = Calls(processes, 0.75).InTime(20s);
@@ -422,11 +431,11 @@
                                    many >= one - 0.02);
           }
         }),
-     It("serve what fits when more is offered than the pool ends", [] {
+     It("serve what fits when more is offered than the pool can finish", [] {
        const Fleet::Count one = Fleet({.processes = 1, .load = 1.4}).Run(8s);
        const Fleet::Count many = Fleet({.processes = 103, .load = 1.4}).Run(8s);
        CPPUNIT_ASSERT_MESSAGE(Text(many) + "; one: " + Text(one),
-                              many.placed >= one.placed * 95 / 100);
+                              many.in_time >= one.in_time * 95 / 100);
      })});
 
 }  // namespace
--- a/src/gateway/tests/quarantine_fleet_test.cc
+++ b/src/gateway/tests/quarantine_fleet_test.cc
@@ -20,42 +20,47 @@
 using testing::Timeline;
 
 constexpr Instant kStart{1h};
-constexpr Duration kOneWay = 1500us;
-constexpr Duration kCrashesAfter = 80ms;
-constexpr Duration kAnsweredAfter = 2s;
-constexpr Duration kPeerMemory = 2s;
+constexpr Duration kOneWayDelay = 1500us;
+constexpr Duration kCrashDelay = 80ms;
+constexpr Duration kAnswerDelay = 2s;
+constexpr Duration kPeerRetention = 2s;
 constexpr Duration kRestartInterval = 8s;
-// The users' bound: by then processes in touch have heard.
-constexpr Duration kContact = 3s;
-constexpr std::size_t kDeadlyRequests = 3;
-constexpr std::size_t kBeside = 12;  // requests at an endpoint that ends
+// The users' bound: the time within which a crash reaches every connected
+// process.
+constexpr Duration kReportBound = 3s;
+constexpr std::size_t kCrashingRequests = 3;
+// Other requests at an endpoint that ends.
+constexpr std::size_t kBystanders = 12;
 
-// What befalls the processes and the way between them.
+// The faults of the processes and of the network between them.
 struct FleetCase {
   std::string name;
   std::size_t processes = 5;
   std::size_t domains = 3;
-  Duration gap = 50ms;    // between attempts of one deadly request
-  double lost = 0;        // share of the datagrams
-  bool restarts = false;  // one after the other starts anew
-  Duration cut{};         // half of them from the other half, from the start
-  std::size_t flood = 0;  // more requests at each endpoint that ends
+  Duration gap = 50ms;    // mean gap between attempts of one crashing request
+  double loss_share = 0;  // share of the datagrams
+  bool restarts = false;  // one process after the other restarts
+  // From the start, half of the processes cannot reach the other half.
+  Duration partition_duration{};
+  // Additional requests at each endpoint that ends.
+  std::size_t extra_bystanders = 0;
 };
 
-// Processes that tell each other of requests under which endpoints ended, in
-// the rounds of their heartbeats.
+// Processes that report to each other the requests under which endpoints ended,
+// in the rounds of their heartbeats.
 class Fleet {
  public:
   explicit Fleet(const FleetCase& fleet_case) : options(fleet_case) {
     this->all.resize(this->options.processes);
     for (std::size_t number = 0; number < this->all.size(); ++number) {
       for (const bool near : {true, false}) {
-        this->time.At(kStart + FromSeconds(Seconds(this->Interval(near)) *
-                                           this->random.Unit()),
-                      [this, number, near] { this->SendRound(number, near); });
+        this->time.At(
+            kStart + FromSeconds(Seconds(this->HeartbeatInterval(near)) *
+                                 this->random.Unit()),
+            [this, number, near] { this->SendRound(number, near); });
       }
     }
-    for (std::size_t request = 0; request < kDeadlyRequests; ++request) {
+    for (std::size_t request = 0; request < kCrashingRequests; ++request) {
       this->Arrive(request);
     }
     if (this->options.restarts) {
@@ -63,41 +68,41 @@
     }
   }
 
-  void Run(Duration time_to_run) { this->time.RunUntil(kStart + time_to_run); }
+  void Run(Duration duration) { this->time.RunUntil(kStart + duration); }
 
-  // Attempts that were sent on by processes in touch later than kContact after
-  // the third end.
+  // Returns the attempts that connected processes sent later than kReportBound
+  // after the third end.
   std::size_t late_sends() const { return this->late; }
   std::size_t ends() const { return this->last_endpoint; }
 
-  // Other requests that are refused anywhere.
-  std::size_t refused_beside() const {
+  // Returns the bystanders that are refused, over all processes.
+  std::size_t refused_bystanders() const {
     std::size_t refused = 0;
     for (const Process& process : this->all) {
-      std::size_t deadly = 0;
-      for (std::size_t request = 0; request < kDeadlyRequests; ++request) {
-        deadly +=
+      std::size_t crashing = 0;
+      for (std::size_t request = 0; request < kCrashingRequests; ++request) {
+        crashing +=
             process.ledger->Quarantined(KeyOf(request), this->time.now) ? 1 : 0;
       }
-      refused += process.ledger->quarantined(this->time.now) - deadly;
+      refused += process.ledger->quarantined(this->time.now) - crashing;
     }
     return refused;
   }
 
-  std::size_t largest() const {
-    std::size_t most = 0;
+  std::size_t largest_ledger() const {
+    std::size_t largest = 0;
     for (const Process& process : this->all) {
-      most = std::max(most, process.ledger->size());
+      largest = std::max(largest, process.ledger->size());
     }
-    return most;
+    return largest;
   }
 
  private:
   struct Process {
     std::optional<retry::CrashLedger> ledger{std::in_place,
                                              retry::CrashLedger::Options{}};
-    Instant started{};
-    std::vector<Instant> heard_at;  // by peer
+    Instant started_at{};
+    std::vector<Instant> last_received_at;  // by peer
     std::size_t rounds[2] = {};
   };
 
@@ -107,11 +112,12 @@
   std::size_t DomainOf(std::size_t number) const {
     return number % this->options.domains;
   }
-  bool Cut(std::size_t one, std::size_t other) const {
-    return this->time.now < kStart + this->options.cut && one % 2 != other % 2;
+  bool Partitioned(std::size_t one, std::size_t other) const {
+    return this->time.now < kStart + this->options.partition_duration &&
+           one % 2 != other % 2;
   }
 
-  Duration Interval(bool near) const {
+  Duration HeartbeatInterval(bool near) const {
     return testing::HeartbeatInterval(this->all.size(), this->options.domains,
                                       near);
   }
@@ -124,13 +130,15 @@
     for (std::size_t to = 0; to < this->all.size(); ++to) {
       if (to != number &&
           near == (this->DomainOf(to) == this->DomainOf(number)) &&
-          !this->Cut(number, to) && this->random.Unit() >= this->options.lost) {
-        this->time.At(this->time.now + kOneWay, [this, number, to, reported] {
-          this->ReceiveReports(number, to, reported);
-        });
+          !this->Partitioned(number, to) &&
+          this->random.Unit() >= this->options.loss_share) {
+        this->time.At(this->time.now + kOneWayDelay,
+                      [this, number, to, reported] {
+                        this->ReceiveReports(number, to, reported);
+                      });
       }
     }
-    this->time.At(this->time.now + this->Interval(near),
+    this->time.At(this->time.now + this->HeartbeatInterval(near),
                   [this, number, near] { this->SendRound(number, near); });
   }
 
@@ -138,10 +146,10 @@
                       std::size_t to,
                       const std::vector<retry::CrashRecord>& reported) {
     Process& process = this->all[to];
-    process.heard_at.resize(this->all.size());
+    process.last_received_at.resize(this->all.size());
     const Instant before =
-        std::exchange(process.heard_at[from], this->time.now);
-    if (this->time.now - before > kPeerMemory) {
+        std::exchange(process.last_received_at[from], this->time.now);
+    if (this->time.now - before > kPeerRetention) {
       process.ledger->ResendReports(this->time.now);
     }
     for (const retry::CrashRecord& record : reported) {
@@ -153,12 +161,12 @@
     this->time.At(this->time.now + kRestartInterval, [this, number] {
       Process& process = this->all[number];
       process.ledger.emplace(retry::CrashLedger::Options{});
-      process.started = this->time.now;
-      process.heard_at.clear();
-      // Peers hear a new start, which is a newcomer to them.
+      process.started_at = this->time.now;
+      process.last_received_at.clear();
+      // Peers see a new incarnation, which they treat as a new peer.
       for (Process& peer : this->all) {
-        peer.heard_at.resize(this->all.size());
-        peer.heard_at[number] = Instant{};
+        peer.last_received_at.resize(this->all.size());
+        peer.last_received_at[number] = Instant{};
       }
       this->Restart((number + 1) % this->all.size());
     });
@@ -178,34 +186,36 @@
   }
 
   void Send(std::size_t request, std::size_t number) {
-    const Instant in_touch_from =
-        std::max({this->third_end[request], kStart + this->options.cut,
-                  this->all[number].started}) +
-        kContact;
+    const Instant late_after =
+        std::max({this->third_end[request],
+                  kStart + this->options.partition_duration,
+                  this->all[number].started_at}) +
+        kReportBound;
     this->late +=
-        this->ends_under[request] >= 3 && this->time.now > in_touch_from ? 1
-                                                                         : 0;
-    this->time.At(this->time.now + kCrashesAfter, [this, request, number] {
+        this->ends_under[request] >= 3 && this->time.now > late_after ? 1 : 0;
+    this->time.At(this->time.now + kCrashDelay, [this, request, number] {
       const std::uint64_t endpoint = ++this->last_endpoint;
       this->all[number].ledger->NoteEnd(
           KeyOf(request), {endpoint, ++this->attempts}, this->time.now);
       if (++this->ends_under[request] == 3) {
         this->third_end[request] = this->time.now;
       }
-      for (std::size_t beside = 0; beside < kBeside + this->options.flood;
-           ++beside) {
-        this->EndBeside(endpoint);
+      for (std::size_t bystander = 0;
+           bystander < kBystanders + this->options.extra_bystanders;
+           ++bystander) {
+        this->EndBystander(endpoint);
       }
     });
   }
 
-  // A request that was merely there, and is answered elsewhere.
-  void EndBeside(std::uint64_t endpoint) {
+  // Ends an attempt of a request that is at the endpoint without causing the
+  // crash; another endpoint answers it later.
+  void EndBystander(std::uint64_t endpoint) {
     const std::size_t number = this->random.Below(this->all.size());
-    const retry::RequestKey key(1000 + ++this->last_beside);
+    const retry::RequestKey key(1000 + ++this->last_bystander);
     this->all[number].ledger->NoteEnd(key, {endpoint, ++this->attempts},
                                       this->time.now);
-    this->time.At(this->time.now + kAnsweredAfter, [this, number, key] {
+    this->time.At(this->time.now + kAnswerDelay, [this, number, key] {
       this->all[number].ledger->NoteAnswer(key, this->time.now);
     });
   }
@@ -214,53 +224,54 @@
   Timeline time{kStart};
   RandomSource random{11};
   std::vector<Process> all;
-  std::size_t ends_under[kDeadlyRequests] = {};
-  Instant third_end[kDeadlyRequests] = {};
+  std::size_t ends_under[kCrashingRequests] = {};
+  Instant third_end[kCrashingRequests] = {};
   std::size_t late = 0;
   std::uint64_t last_endpoint = 0;
   std::uint32_t attempts = 0;
-  std::uint64_t last_beside = 0;
+  std::uint64_t last_bystander = 0;
 };
 
 const std::vector<FleetCase> kFleets = {
     {.name = "five processes"},
     {.name = "22 processes", .processes = 22},
     {.name = "103 processes", .processes = 103, .domains = 6},
-    {.name = "five processes and lossy links", .lost = 0.3},
+    {.name = "five processes and lossy links", .loss_share = 0.3},
     {.name = "103 processes and lossy links",
      .processes = 103,
      .domains = 6,
-     .lost = 0.3},
-    {.name = "five processes that start anew in turn",
+     .loss_share = 0.3},
+    {.name = "five processes that restart in turn",
      .gap = 500ms,
      .restarts = true},
-    {.name = "22 processes that start anew in turn",
+    {.name = "22 processes that restart in turn",
      .processes = 22,
      .gap = 100ms,
      .restarts = true},
-    {.name = "five processes, cut in halves for a while", .cut = 6s},
-    {.name = "103 processes, cut in halves for a while",
+    {.name = "five processes, temporarily partitioned in halves",
+     .partition_duration = 6s},
+    {.name = "103 processes, temporarily partitioned in halves",
      .processes = 103,
      .domains = 6,
-     .cut = 6s},
-    {.name = "103 processes and a flood of others beside it",
+     .partition_duration = 6s},
+    {.name = "103 processes and many other requests at the same endpoints",
      .processes = 103,
      .domains = 6,
-     .flood = 300}};
+     .extra_bystanders = 300}};
 
 const acacialug::testing::Story kStory(
     "a request under which endpoints end, among many processes",
     {ForEach<FleetCase>(
-        "is sent by none of them in touch once three have ended:",
+        "is sent by no connected process once three have ended",
         kFleets,
         [](const FleetCase& row) { return row.name; },
         [](const FleetCase& row) {
           Fleet fleet(row);
           fleet.Run(60s);
-          CPPUNIT_ASSERT(fleet.ends() >= 3 * kDeadlyRequests);
+          CPPUNIT_ASSERT(fleet.ends() >= 3 * kCrashingRequests);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.late_sends());
-          CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.refused_beside());
-          CPPUNIT_ASSERT(fleet.largest() <=
+          CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.refused_bystanders());
+          CPPUNIT_ASSERT(fleet.largest_ledger() <=
                          retry::CrashLedger::Options().max_requests);
         })});
 
--- a/src/gateway/tests/quarantine_test.cc
+++ b/src/gateway/tests/quarantine_test.cc
@@ -24,8 +24,8 @@
 constexpr int kEndpoints = 8;
 
 // Endpoints that prefill, decode, and answer plain requests.
-struct World : GatewaySimulation {
-  World() {
+struct PoolSimulation : GatewaySimulation {
+  PoolSimulation() {
     this->Configure();
     for (int number = 0; number < kEndpoints; ++number) {
       const std::string name = std::to_string(number);
@@ -45,8 +45,8 @@
     this->Break(this->AdvanceToDecode());
   }
 
-  // A peer tells of three endpoints that ended under a request.
-  void HearOf(const std::string& path, Duration age = 0ms) {
+  // A peer reports three endpoints that ended under a request.
+  void ReceivePeerReport(const std::string& path, Duration age = 0ms) {
     this->core->SetPeerCrash(
         {.request =
              RequestKeyOf({.host = "h.example",
@@ -58,28 +58,29 @@
   int attempts = 0;
 };
 
-// What a request meets on its way, until three endpoints have ended under it.
+// The phase of a request in which endpoints end under it, until three have
+// ended.
 struct PhaseCase {
   std::string name;
   std::string path;
-  std::function<void(World&)> crashes;
+  std::function<void(PoolSimulation&)> crashes;
 };
 
 const std::vector<PhaseCase> kPhases = {
     {"while it decodes, one in each attempt", "/stream/a",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
          simulation.Crash("/stream/a");
        }
      }},
     {"while it decodes, two of them in one attempt", "/resumable/a",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        simulation.Crash("/resumable/a");
        simulation.Break(simulation.AdvanceToDecode());
        simulation.Crash("/resumable/a");
      }},
     {"in the middle of its stream", "/stream/a",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
          simulation.Attempt("/stream/a");
          const auto decode = simulation.AdvanceToDecode();
@@ -89,7 +90,7 @@
        }
      }},
     {"while its prompt is computed", "/stream/a",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
          simulation.Attempt("/stream/a");
          simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
@@ -98,7 +99,7 @@
        }
      }},
     {"of plain requests that may run again", "/idempotent/a",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        simulation.Attempt("/idempotent/a");
        simulation.Break(simulation.Find("/idempotent/a"));
        simulation.Break(simulation.Find("/idempotent/a"));
@@ -106,99 +107,107 @@
        simulation.Break(simulation.Find("/idempotent/a"));
      }},
     {"of plain requests that run once", "/once/a",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        for (int crash = 0; crash < 3; ++crash) {
          simulation.Attempt("/once/a");
          simulation.Break(simulation.Find("/once/a"));
        }
      }},
-    {"at peers", "/stream/a",
-     [](World& simulation) { simulation.HearOf("/stream/a"); }}};
+    {"at peers", "/stream/a", [](PoolSimulation& simulation) {
+       simulation.ReceivePeerReport("/stream/a");
+     }}};
 
-// Where a request stands when a peer tells that three endpoints ended under it.
-struct StandCase {
+// The state of a request when a peer reports that three endpoints ended under
+// it.
+struct PeerReportCase {
   std::string name;
-  std::function<AnswerPtr(World&)> stands;
-  std::function<void(World&)> goes_on;
+  std::function<AnswerPtr(PoolSimulation&)> prepare;
+  std::function<void(PoolSimulation&)> proceed;
   int status = 503;
 };
 
-const std::vector<StandCase> kStands = {
-    {"while it waits for a place",
-     [](World& simulation) {
+const std::vector<PeerReportCase> kPeerReportCases = {
+    {"while it waits for a slot",
+     [](PoolSimulation& simulation) {
        for (int number = 0; number < kEndpoints; ++number) {
          simulation.RemoveEndpoint("d" + std::to_string(number));
        }
        return simulation.Attempt("/stream/a");
      },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        simulation.AddEndpoint("late", "model", EndpointRole::kDecode);
      }},
-    {"while it asks for memory",
-     [](World& simulation) { return simulation.Attempt("/stream/a"); },
-     [](World& simulation) {
+    {"while it requests memory",
+     [](PoolSimulation& simulation) { return simulation.Attempt("/stream/a"); },
+     [](PoolSimulation& simulation) {
        simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
        CPPUNIT_ASSERT_EQUAL(std::string("/reserve/v"),
                             simulation.released.back());
      }},
     {"while it is refused memory",
-     [](World& simulation) { return simulation.Attempt("/stream/a"); },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) { return simulation.Attempt("/stream/a"); },
+     [](PoolSimulation& simulation) {
        simulation.Reply(simulation.Find("/reserve/"), 503, {});
      }},
     {"while its prompt is computed",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        auto answer = simulation.Attempt("/stream/a");
        simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
        return answer;
      },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        simulation.Reply(simulation.Find("prefill"), 200, {}, "x1");
        CPPUNIT_ASSERT_EQUAL(
            std::ptrdiff_t{1},
            std::count(simulation.released.begin(), simulation.released.end(),
                       "/export/x1"));
      }},
-    {"while its prompt is computed, in vain",
-     [](World& simulation) {
+    {"before its prefill fails",
+     [](PoolSimulation& simulation) {
        auto answer = simulation.Attempt("/stream/a");
        simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
        return answer;
      },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        simulation.Reply(simulation.Find("prefill"), 500, {});
      }},
     {"before its decode endpoint rejects it",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        auto answer = simulation.Attempt("/stream/a");
        simulation.AdvanceToDecode();
        return answer;
      },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        simulation.ReplyRefused(simulation.Find("decode"));
      }},
     {"before its decode endpoint is lost",
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
        auto answer = simulation.Attempt("/resumable/a");
        simulation.AdvanceToDecode();
        return answer;
      },
-     [](World& simulation) { simulation.Break(simulation.Find("decode")); },
+     [](PoolSimulation& simulation) {
+       simulation.Break(simulation.Find("decode"));
+     },
      502},
     {"before a plain endpoint rejects it",
-     [](World& simulation) { return simulation.Attempt("/once/a"); },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) { return simulation.Attempt("/once/a"); },
+     [](PoolSimulation& simulation) {
        simulation.ReplyRefused(simulation.Find("/once/a"));
      }},
     {"before a plain endpoint is lost",
-     [](World& simulation) { return simulation.Attempt("/idempotent/a"); },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
+       return simulation.Attempt("/idempotent/a");
+     },
+     [](PoolSimulation& simulation) {
        simulation.Break(simulation.Find("/idempotent/a"));
      },
      502},
     {"before a plain endpoint fails",
-     [](World& simulation) { return simulation.Attempt("/idempotent/a"); },
-     [](World& simulation) {
+     [](PoolSimulation& simulation) {
+       return simulation.Attempt("/idempotent/a");
+     },
+     [](PoolSimulation& simulation) {
        simulation.ReplyProof(simulation.Find("/idempotent/a"), 500);
      },
      500}};
@@ -208,7 +217,7 @@
     {It("is refused at once after the third, in whichever attempt it comes",
         [] {
           // Guards against a request that ends one endpoint after the other.
-          World simulation;
+          PoolSimulation simulation;
           for (int crash = 0; crash < 3; ++crash) {
             simulation.Crash("/stream/a");
           }
@@ -221,7 +230,7 @@
          kPhases,
          [](const PhaseCase& row) { return row.name; },
          [](const PhaseCase& row) {
-           World simulation;
+           PoolSimulation simulation;
            row.crashes(simulation);
            CPPUNIT_ASSERT_MESSAGE("nothing is under way",
                                   simulation.Calls().empty());
@@ -232,30 +241,30 @@
            CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                 simulation.core->requests_quarantined());
          }),
-     ForEach<StandCase>(
-         "is sent nowhere once a peer tells of the third",
-         kStands,
-         [](const StandCase& row) { return row.name; },
-         [](const StandCase& row) {
-           World simulation;
-           const auto answer = row.stands(simulation);
+     ForEach<PeerReportCase>(
+         "is sent nowhere once a peer reports the third",
+         kPeerReportCases,
+         [](const PeerReportCase& row) { return row.name; },
+         [](const PeerReportCase& row) {
+           PoolSimulation simulation;
+           const auto answer = row.prepare(simulation);
            for (const char* const path :
                 {"/stream/a", "/resumable/a", "/idempotent/a", "/once/a"}) {
-             simulation.HearOf(path);
+             simulation.ReceivePeerReport(path);
            }
-           row.goes_on(simulation);
+           row.proceed(simulation);
            CPPUNIT_ASSERT_EQUAL(row.status, answer->status);
            CPPUNIT_ASSERT(simulation.Calls().empty());
            CPPUNIT_ASSERT(simulation.core->OwnLoad().rows.empty());
          }),
-     It("is left where it runs, silent or not, when a peer tells of the third",
+     It("keeps running, responsive or not, when a peer reports the third",
         [] {
-          World simulation;
+          PoolSimulation simulation;
           const auto answer = simulation.Attempt("/resumable/a");
           const auto decode = simulation.AdvanceToDecode();
           simulation.Begin(decode);
           simulation.Event(decode, 0);
-          simulation.HearOf("/resumable/a");
+          simulation.ReceivePeerReport("/resumable/a");
           simulation.AdvanceBy(3s);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, simulation.Calls().size());
           simulation.Event(decode, 1);
@@ -265,19 +274,20 @@
                                simulation.core->requests_quarantined());
         }),
      Section(
-         "leaves alone",
+         "does not affect",
          {It("another request of the same caller",
              [] {
-               World simulation;
+               PoolSimulation simulation;
                for (int crash = 0; crash < 3; ++crash) {
                  simulation.Crash("/stream/a");
                }
                CPPUNIT_ASSERT(!simulation.Attempt("/stream/b")->ended);
              }),
-          It("one that was beside it at two endpoints, and goes on at a third",
+          It("a request beside it at two endpoints that continues at a third",
              [] {
-               // Guards against refusing a request for the crashes of others.
-               World simulation;
+               // Guards against refusing a request for the crashes of
+               // other requests.
+               PoolSimulation simulation;
                const auto first = simulation.Attempt("/resumable/b");
                simulation.Break(simulation.AdvanceToDecode());
                simulation.Break(simulation.AdvanceToDecode());
@@ -288,14 +298,15 @@
                simulation.Event(decode, 0);
                simulation.End(decode);
                CPPUNIT_ASSERT(second->ended && !second->cut);
-               // Its answer clears it.
+               // The answer clears the earlier ends.
                simulation.Crash("/resumable/b");
                CPPUNIT_ASSERT(simulation.Find("/reserve/") != nullptr);
              }),
-          It("one that went to three endpoints in one attempt as they ended",
+          It("a request under which three endpoints ended in one attempt",
              [] {
-               // Guards against refusing a request for the crashes of others.
-               World simulation;
+               // Guards against refusing a request for the crashes of
+               // other requests.
+               PoolSimulation simulation;
                const auto first = simulation.Attempt("/resumable/b");
                simulation.Reply(simulation.Find("/reserve/"), 200, {}, "v");
                simulation.Break(simulation.Find("prefill"));
@@ -306,8 +317,8 @@
              }),
           It("requests that look the same when many endpoints end at once",
              [] {
-               // Guards against refusing a whole kind of requests.
-               World simulation;
+               // Guards against refusing every request of a kind.
+               PoolSimulation simulation;
                simulation.Attempt("/idempotent/a");
                simulation.ReplyProof(simulation.Find("/idempotent/a"), 200,
                                      "ok");
@@ -318,9 +329,9 @@
                }
                CPPUNIT_ASSERT(!simulation.Attempt("/idempotent/a")->ended);
              }),
-          It("one that an endpoint refused, or that never reached one",
+          It("a request that endpoints refused, or that never reached one",
              [] {
-               World simulation;
+               PoolSimulation simulation;
                for (int time = 0; time < 4; ++time) {
                  simulation.Attempt("/once/a");
                  simulation.Break(simulation.Find("/once/a"), false);
@@ -329,11 +340,11 @@
                }
                CPPUNIT_ASSERT(!simulation.Attempt("/once/a")->ended);
              }),
-          It("one whose endpoints leave as they were told to",
+          It("a request whose endpoints leave as ordered",
              [] {
-               // Guards against refusing what a replacement of endpoints cuts
-               // off.
-               World simulation;
+               // Guards against refusing requests that a replacement of
+               // endpoints interrupts.
+               PoolSimulation simulation;
                for (int time = 0; time < 3; ++time) {
                  simulation.Attempt("/stream/a");
                  const auto decode = simulation.AdvanceToDecode();
@@ -347,9 +358,9 @@
                }
                CPPUNIT_ASSERT(!simulation.Attempt("/stream/a")->ended);
              }),
-          It("one that an endpoint refused before it broke off",
+          It("a request that an endpoint refused before it broke off",
              [] {
-               World simulation;
+               PoolSimulation simulation;
                for (int time = 0; time < 4; ++time) {
                  simulation.Attempt("/stream/a");
                  const auto decode = simulation.AdvanceToDecode();
@@ -359,14 +370,14 @@
                }
                CPPUNIT_ASSERT(!simulation.Attempt("/stream/a")->ended);
              }),
-          It("one of which a peer tells what is long past",
+          It("a request for which a peer reports ends that are long past",
              [] {
-               World simulation;
-               simulation.HearOf("/stream/a", 11min);
+               PoolSimulation simulation;
+               simulation.ReceivePeerReport("/stream/a", 11min);
                CPPUNIT_ASSERT(!simulation.Attempt("/stream/a")->ended);
              })}),
      It("is tried again after its quarantine", [] {
-       World simulation;
+       PoolSimulation simulation;
        for (int crash = 0; crash < 3; ++crash) {
          simulation.Crash("/stream/a");
        }
--- a/src/gateway/tests/quota_fleet.cc
+++ b/src/gateway/tests/quota_fleet.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Instant kStart{1h};
-constexpr Duration kLength = 30s;
-constexpr Duration kOneWay = 1500us;
+constexpr Duration kRunTime = 30s;
+constexpr Duration kOneWayDelay = 1500us;
 constexpr double kMeanTokens = 6000;
 constexpr double kMinTokens = 2000;
 
@@ -22,17 +22,19 @@
       time(kStart),
       random(quota_case.seed),
       all(quota_case.processes),
-      saved(kLimit.burst),
-      saved_at(kStart) {
+      balance(kLimit.burst),
+      refilled_at(kStart) {
   for (std::size_t number = 0; number < this->all.size(); ++number) {
     this->Begin(number);
     for (const bool near : {true, false}) {
-      this->time.At(kStart + FromSeconds(Seconds(this->Interval(near)) *
-                                         this->random.Unit()),
-                    [this, number, near] { this->SendRound(number, near); });
+      this->time.At(
+          kStart + FromSeconds(Seconds(this->HeartbeatInterval(near)) *
+                               this->random.Unit()),
+          [this, number, near] { this->SendRound(number, near); });
     }
   }
-  // The users' traffic begins when the processes have long heard each other.
+  // The users' traffic begins well after the processes have received each
+  // other's heartbeats.
   this->time.At(kStart + 3s, [this] { this->Arrive(); });
   if (this->options.all_restart) {
     for (std::size_t number = 0; number < this->all.size(); ++number) {
@@ -41,12 +43,12 @@
     }
   }
   if (this->options.roll_restart) {
-    this->time.At(kStart + 5s, [this] { this->RollOn(0); });
+    this->time.At(kStart + 5s, [this] { this->RestartNext(0); });
   }
 }
 
 void QuotaFleet::Run() {
-  this->time.RunUntil(kStart + kLength);
+  this->time.RunUntil(kStart + kRunTime);
 }
 
 void QuotaFleet::Begin(std::size_t number) {
@@ -59,12 +61,12 @@
   this->all[number].up = false;
 }
 
-void QuotaFleet::RollOn(std::size_t number) {
+void QuotaFleet::RestartNext(std::size_t number) {
   this->End(number);
   this->time.At(this->time.now + 500ms,
                 [this, number] { this->Begin(number); });
   this->time.At(this->time.now + 1s, [this, number] {
-    this->RollOn((number + 1) % this->all.size());
+    this->RestartNext((number + 1) % this->all.size());
   });
 }
 
@@ -74,19 +76,21 @@
   return {.per_second = part * kLimit.per_second, .burst = part * kLimit.burst};
 }
 
-bool QuotaFleet::Cut(std::size_t number) const {
+bool QuotaFleet::Isolated(std::size_t number) const {
   return this->time.now >= kStart + 4s && this->time.now < kStart + 14s &&
          static_cast<double>(number) <
-             this->options.cut_share * static_cast<double>(this->all.size());
+             this->options.isolated_share *
+                 static_cast<double>(this->all.size());
 }
 
 bool QuotaFleet::Reaches(std::size_t one, std::size_t other) const {
   return this->all[one].up && this->all[other].up &&
-         (one == other || (!this->Cut(one) && !this->Cut(other)));
+         (one == other || (!this->Isolated(one) && !this->Isolated(other)));
 }
 
-Duration QuotaFleet::Interval(bool near) const {
-  return HeartbeatInterval(this->all.size(), this->options.domains, near);
+Duration QuotaFleet::HeartbeatInterval(bool near) const {
+  return testing::HeartbeatInterval(this->all.size(), this->options.domains,
+                                    near);
 }
 
 void QuotaFleet::SendRound(std::size_t number, bool near) {
@@ -104,7 +108,7 @@
       if (this->random.Unit() < this->options.loss_share) {
         continue;
       }
-      this->time.At(this->time.now + kOneWay,
+      this->time.At(this->time.now + kOneWayDelay,
                     [this, number, to, report, incarnation] {
                       if (this->all[to].up) {
                         this->all[to].strategy.receive(number, incarnation,
@@ -113,40 +117,41 @@
                     });
     }
   }
-  this->time.At(this->time.now + this->Interval(near),
+  this->time.At(this->time.now + this->HeartbeatInterval(near),
                 [this, number, near] { this->SendRound(number, near); });
 }
 
-bool QuotaFleet::Owed(double amount) {
+bool QuotaFleet::WithinLimit(double amount) {
   const quota::Quota limit = this->limit();
-  this->saved = std::min(
-      limit.burst, this->saved + limit.per_second *
-                                     Seconds(this->time.now - this->saved_at));
-  this->saved_at = this->time.now;
-  if (this->saved < amount) {
+  this->balance =
+      std::min(limit.burst,
+               this->balance + limit.per_second *
+                                   Seconds(this->time.now - this->refilled_at));
+  this->refilled_at = this->time.now;
+  if (this->balance < amount) {
     return false;
   }
-  this->saved -= amount;
+  this->balance -= amount;
   return true;
 }
 
 void QuotaFleet::Arrive() {
   const Duration since = this->time.now - kStart;
-  const bool hot = since >= 5s && since < 12s;
+  const bool in_burst = since >= 5s && since < 12s;
   const double rate = kLimit.per_second * this->options.demand *
-                      (hot ? this->options.burst_factor : 1) / kMeanTokens;
+                      (in_burst ? this->options.burst_factor : 1) / kMeanTokens;
   const double amount =
       kMinTokens + 2 * (kMeanTokens - kMinTokens) * this->random.Unit();
-  const std::size_t through = this->options.reached_processes == 0
+  const std::size_t reached = this->options.reached_processes == 0
                                   ? this->all.size()
                                   : this->options.reached_processes;
-  const std::size_t number = this->random.Below(through);
+  const std::size_t number = this->random.Below(reached);
   if (this->all[number].up) {
-    const bool owed_now = this->Owed(amount);
+    const bool within_limit = this->WithinLimit(amount);
     const bool granted =
         this->all[number].strategy.take(amount, this->time.now);
-    this->owed += owed_now ? amount : 0;
-    this->refused += owed_now && !granted ? amount : 0;
+    this->tokens_within_limit += within_limit ? amount : 0;
+    this->tokens_refused += within_limit && !granted ? amount : 0;
     if (granted) {
       this->grants.push_back({.at = this->time.now, .amount = amount});
     }
@@ -165,22 +170,22 @@
     while (this->grants[oldest].at < grant.at - kWindow) {
       within -= this->grants[oldest++].amount;
     }
-    // A lowered limit binds a window after it is known.
+    // The bound of a lowered limit applies one window after the limit is known.
     const bool lowered = grant.at >= kStart + 10s + kWindow;
     const double part = lowered ? this->options.lowered_factor : 1;
     const double allowed =
         part * (kLimit.per_second * Seconds(kWindow) + kLimit.burst) *
-            (1 + kOvershoot) +
-        kSlack;
+            (1 + kOvershootShare) +
+        kSlackTokens;
     fullest = std::max(fullest, within / allowed);
   }
   return fullest;
 }
 
-double QuotaFleet::reports_per_second() const {
+double QuotaFleet::reported_bytes_per_second() const {
   constexpr double kBytesOfUse = 28;
   return static_cast<double>(this->reported_uses) * kBytesOfUse /
-         Seconds(kLength) / static_cast<double>(this->all.size());
+         Seconds(kRunTime) / static_cast<double>(this->all.size());
 }
 
 }  // namespace acacialug::gateway::testing
--- a/src/gateway/tests/quota_fleet_test.cc
+++ b/src/gateway/tests/quota_fleet_test.cc
@@ -15,18 +15,18 @@
 using testing::QuotaCase;
 using testing::QuotaFleet;
 
-// Large fleets take long to play.
-std::uint64_t SeedsOf(const QuotaCase& row) {
+// Large fleets take long to simulate, so they run with fewer seeds.
+std::uint64_t SeedCount(const QuotaCase& row) {
   return row.processes > 50 ? 5 : 10;
 }
 
-std::string NameOfCase(const QuotaCase& row) {
+std::string CaseName(const QuotaCase& row) {
   return row.name;
 }
 
-// As the users judge it: what was taken in any window, at all processes.
-void KeepsTheBound(const QuotaCase& row) {
-  for (std::uint64_t seed = 1; seed <= SeedsOf(row); ++seed) {
+// Checks the users' bound: the tokens taken in any window, at all processes.
+void CheckBound(const QuotaCase& row) {
+  for (std::uint64_t seed = 1; seed <= SeedCount(row); ++seed) {
     QuotaCase seeded = row;
     seeded.seed = seed;
     QuotaFleet fleet(seeded, LedgerStrategy());
@@ -36,27 +36,27 @@
   }
 }
 
-double WronglyRefused(const QuotaCase& row) {
+double MeanWronglyRefused(const QuotaCase& row) {
   double refused = 0;
-  for (std::uint64_t seed = 1; seed <= SeedsOf(row); ++seed) {
+  for (std::uint64_t seed = 1; seed <= SeedCount(row); ++seed) {
     QuotaCase seeded = row;
     seeded.seed = seed;
     QuotaFleet fleet(seeded, LedgerStrategy());
     fleet.Run();
     refused += fleet.wrongly_refused();
   }
-  return refused / static_cast<double>(SeedsOf(row));
+  return refused / static_cast<double>(SeedCount(row));
 }
 
-const std::vector<QuotaCase> kInTouch = {
+const std::vector<QuotaCase> kWithinLimit = {
     {.name = "steady"},
     {.name = "through two processes", .reached_processes = 2},
     {.name = "at five processes", .processes = 5},
     {.name = "at 103 processes", .processes = 103, .domains = 6},
-    {.name = "beside lossy links", .loss_share = 0.3},
+    {.name = "with lossy links", .loss_share = 0.3},
 };
 
-const std::vector<QuotaCase> kBeyond = {
+const std::vector<QuotaCase> kBeyondLimit = {
     {.name = "at three times its usual", .burst_factor = 3},
     {.name = "at eight times its usual", .burst_factor = 8},
     {.name = "through two processes",
@@ -66,54 +66,57 @@
      .processes = 103,
      .domains = 6,
      .burst_factor = 8},
-    {.name = "beside lossy links", .burst_factor = 8, .loss_share = 0.3},
+    {.name = "with lossy links", .burst_factor = 8, .loss_share = 0.3},
     {.name = "whose limit is lowered",
      .burst_factor = 3,
      .lowered_factor = 0.3},
-    {.name = "with half of the processes cut off",
+    {.name = "with half of the processes isolated",
      .burst_factor = 8,
-     .cut_share = 0.5},
-    {.name = "with each process cut off", .burst_factor = 8, .cut_share = 1},
-    // Guards against: each of many parts lends itself a whole request.
-    {.name = "with half of 103 processes cut off",
+     .isolated_share = 0.5},
+    {.name = "with each process isolated",
+     .burst_factor = 8,
+     .isolated_share = 1},
+    // Guards against an overshoot when each of many shares goes into debt by a
+    // whole request.
+    {.name = "with half of 103 processes isolated",
      .processes = 103,
      .domains = 6,
      .burst_factor = 8,
-     .cut_share = 0.5},
-    {.name = "with each of 103 processes cut off",
+     .isolated_share = 0.5},
+    {.name = "with each of 103 processes isolated",
      .processes = 103,
      .domains = 6,
      .burst_factor = 8,
-     .cut_share = 1},
-    {.name = "when 103 processes start anew",
+     .isolated_share = 1},
+    {.name = "when 103 processes restart",
      .processes = 103,
      .domains = 6,
      .burst_factor = 8,
      .all_restart = true},
-    {.name = "when all start anew", .burst_factor = 8, .all_restart = true},
-    {.name = "when one after the other starts anew",
+    {.name = "when all restart", .burst_factor = 8, .all_restart = true},
+    {.name = "when one after the other restarts",
      .burst_factor = 8,
      .roll_restart = true},
-    {.name = "cut off, lossy and starting anew, with its limit lowered",
+    {.name = "with isolation, loss and restarts, and its limit lowered",
      .burst_factor = 8,
      .lowered_factor = 0.5,
      .loss_share = 0.2,
-     .cut_share = 0.35,
+     .isolated_share = 0.35,
      .roll_restart = true},
 };
 
 const acacialug::testing::Story kStory(
     "a customer whose requests reach many gateways",
-    {ForEach<QuotaCase>("within its limit is not refused, ",
-                        kInTouch,
-                        NameOfCase,
+    {ForEach<QuotaCase>("within its limit is not refused",
+                        kWithinLimit,
+                        CaseName,
                         [](const QuotaCase& row) {
-                          CPPUNIT_ASSERT(WronglyRefused(row) <= 0.005);
+                          CPPUNIT_ASSERT(MeanWronglyRefused(row) <= 0.005);
                         }),
-     ForEach<QuotaCase>("beyond its limit gets no more than it, ",
-                        kBeyond,
-                        NameOfCase,
-                        KeepsTheBound)});
+     ForEach<QuotaCase>("beyond its limit gets no more than it",
+                        kBeyondLimit,
+                        CaseName,
+                        CheckBound)});
 
 }  // namespace
 }  // namespace acacialug::gateway
--- a/src/gateway/tests/quota_strategies.cc
+++ b/src/gateway/tests/quota_strategies.cc
@@ -14,35 +14,36 @@
 using quota::QuotaLedger;
 
 constexpr quota::CustomerKey kCustomer{7};
-constexpr double kLargestRequest = 10'000;
-constexpr std::size_t kMaxReported = 8;
+constexpr double kMaxRequestTokens = 10'000;
+constexpr std::size_t kMaxReportedUses = 8;
 
-// A bucket whose size may change.
+// A token bucket whose limit may change.
 struct Bucket {
-  double saved = 0;
+  double balance = 0;
   Instant at{};
 
   bool Take(double amount, const Quota& limit, Instant now) {
-    this->saved = std::min(
-        limit.burst, this->saved + limit.per_second * Seconds(now - this->at));
+    this->balance =
+        std::min(limit.burst,
+                 this->balance + limit.per_second * Seconds(now - this->at));
     this->at = now;
-    if (this->saved < std::min(amount, limit.burst)) {
+    if (this->balance < std::min(amount, limit.burst)) {
       return false;
     }
-    this->saved -= amount;
+    this->balance -= amount;
     return true;
   }
 };
 
-QuotaStrategy StrategyOf(const std::shared_ptr<QuotaLedger>& ledger) {
+QuotaStrategy StrategyOfLedger(const std::shared_ptr<QuotaLedger>& ledger) {
   return {.take =
               [ledger](double amount, Instant now) {
                 return ledger->Take(kCustomer, amount, now).granted;
               },
           .collect =
               [ledger](std::size_t group, Instant now) {
-                return QuotaReport{
-                    .uses = ledger->CollectReports(group, kMaxReported, now)};
+                return QuotaReport{.uses = ledger->CollectReports(
+                                       group, kMaxReportedUses, now)};
               },
           .receive =
               [ledger](std::size_t from, Incarnation incarnation,
@@ -52,30 +53,32 @@
               }};
 }
 
-QuotaFleet::MakeStrategy LedgerOf(const QuotaLedger::Options& options) {
+QuotaFleet::MakeStrategy MakeLedgerStrategy(
+    const QuotaLedger::Options& options) {
   return [options](const QuotaFleet& fleet, std::size_t number) {
     QuotaLedger::Options own = options;
     own.quota_of = [&fleet](quota::CustomerKey) { return fleet.limit(); };
     const auto ledger = std::make_shared<QuotaLedger>(own);
-    // The store lists them when a process starts.
+    // The store lists the peers when a process starts.
     for (std::size_t peer = 0; peer < fleet.size(); ++peer) {
       if (peer != number) {
         ledger->OnPeerListed(std::to_string(peer), fleet.now());
       }
     }
-    return StrategyOf(ledger);
+    return StrategyOfLedger(ledger);
   };
 }
 
 }  // namespace
 
 QuotaFleet::MakeStrategy LedgerStrategy() {
-  return LedgerOf({.tolerance = {.overshoot = kOvershoot, .spare = kSlack},
-                   .shares = {.heartbeat_timeout = HeartbeatTimeout}});
+  return MakeLedgerStrategy(
+      {.tolerance = {.overshoot = kOvershootShare, .spare = kSlackTokens},
+       .shares = {.heartbeat_timeout = HeartbeatTimeout}});
 }
 
 QuotaFleet::MakeStrategy ReportsStrategy() {
-  return LedgerOf(
+  return MakeLedgerStrategy(
       {.shares = {.heartbeat_timeout = [](std::size_t) { return 1h; },
                   .retention = 1h,
                   .listed_retention = 0s}});
@@ -84,7 +87,7 @@
 QuotaFleet::MakeStrategy EvenSplitStrategy() {
   return [](const QuotaFleet& fleet, std::size_t /*number*/) {
     const auto bucket = std::make_shared<Bucket>(
-        Bucket{.saved = kLargestRequest, .at = Instant(1h)});
+        Bucket{.balance = kMaxRequestTokens, .at = Instant(1h)});
     return QuotaStrategy{
         .take =
             [bucket, &fleet](double amount, Instant now) {
@@ -93,7 +96,7 @@
               return bucket->Take(
                   amount,
                   {.per_second = whole.per_second / parts,
-                   .burst = std::max(whole.burst / parts, kLargestRequest)},
+                   .burst = std::max(whole.burst / parts, kMaxRequestTokens)},
                   now);
             },
         .collect = [](std::size_t, Instant) { return QuotaReport{}; },
@@ -106,35 +109,38 @@
   struct State {
     Bucket bucket;
     double demand = 0;
-    Instant asked_at{};
+    Instant decayed_at{};
     std::unordered_map<std::size_t, double> peers;
   };
   return [](const QuotaFleet& fleet, std::size_t /*number*/) {
-    constexpr double kFloor = 0.5;  // of the limit, divided evenly
-    constexpr double kMemory = 1;   // seconds, of what is asked for
+    // Share of the limit that is divided evenly.
+    constexpr double kEvenShare = 0.5;
+    // Time constant of the decay of the demand.
+    constexpr double kDemandSeconds = 1;
     const auto state = std::make_shared<State>();
-    state->bucket = {.saved = kLargestRequest, .at = Instant(1h)};
+    state->bucket = {.balance = kMaxRequestTokens, .at = Instant(1h)};
     const auto decay = [state](Instant now) {
-      const double passed = Seconds(now - state->asked_at);
-      state->asked_at = now;
-      state->demand *= std::max(0.0, 1 - passed / kMemory);
+      const double elapsed = Seconds(now - state->decayed_at);
+      state->decayed_at = now;
+      state->demand *= std::max(0.0, 1 - elapsed / kDemandSeconds);
     };
     return QuotaStrategy{
         .take =
             [state, decay, &fleet](double amount, Instant now) {
               decay(now);
-              state->demand += amount / kMemory;
+              state->demand += amount / kDemandSeconds;
               double all = state->demand;
               for (const auto& [peer, demand] : state->peers) {
                 all += demand;
               }
-              const double share = kFloor / static_cast<double>(fleet.size()) +
-                                   (1 - kFloor) * state->demand / all;
+              const double share =
+                  kEvenShare / static_cast<double>(fleet.size()) +
+                  (1 - kEvenShare) * state->demand / all;
               const Quota whole = fleet.limit();
               return state->bucket.Take(
                   amount,
                   {.per_second = share * whole.per_second,
-                   .burst = std::max(share * whole.burst, kLargestRequest)},
+                   .burst = std::max(share * whole.burst, kMaxRequestTokens)},
                   now);
             },
         .collect =
@@ -149,27 +155,28 @@
 }
 
 QuotaFleet::MakeStrategy HomeProcessStrategy() {
-  // What the home of the customer keeps; a new life of it begins with a part.
+  // The customer's home process keeps the account; a new incarnation of it
+  // starts with a part of the burst.
   return [](const QuotaFleet& fleet, std::size_t number) {
-    constexpr std::size_t kHome = 0;
+    constexpr std::size_t kHomeProcess = 0;
     const auto account = std::make_shared<Bucket>(
-        Bucket{.saved = kLimit.burst / 2, .at = Instant(1h)});
-    const auto floor = std::make_shared<Bucket>(
-        Bucket{.saved = kLargestRequest, .at = Instant(1h)});
+        Bucket{.balance = kLimit.burst / 2, .at = Instant(1h)});
+    const auto fallback = std::make_shared<Bucket>(
+        Bucket{.balance = kMaxRequestTokens, .at = Instant(1h)});
     return QuotaStrategy{
         .take =
-            [account, floor, number, &fleet](double amount, Instant now) {
-              if (number == kHome) {
+            [account, fallback, number, &fleet](double amount, Instant now) {
+              if (number == kHomeProcess) {
                 return account->Take(amount, fleet.limit(), now);
               }
-              if (fleet.Reaches(number, kHome)) {
-                return fleet.strategy(kHome).take(amount, now);
+              if (fleet.Reaches(number, kHomeProcess)) {
+                return fleet.strategy(kHomeProcess).take(amount, now);
               }
               const auto parts = static_cast<double>(fleet.size());
-              return floor->Take(
+              return fallback->Take(
                   amount,
                   {.per_second = fleet.limit().per_second / parts,
-                   .burst = kLargestRequest},
+                   .burst = kMaxRequestTokens},
                   now);
             },
         .collect = [](std::size_t, Instant) { return QuotaReport{}; },
--- a/src/gateway/tests/timeline.h
+++ b/src/gateway/tests/timeline.h
@@ -9,13 +9,13 @@
 
 namespace acacialug::gateway::testing {
 
-// Virtual time: what is to happen, in its order.
+// Virtual time: runs each event at its time, in the order of the times.
 class Timeline {
  public:
   explicit Timeline(Instant start) : now(start) {}
 
-  void At(Instant when, std::function<void()> what) {
-    this->events.emplace(when, std::move(what));
+  void At(Instant at, std::function<void()> event) {
+    this->events.emplace(at, std::move(event));
   }
   void RunUntil(Instant end) {
     while (!this->events.empty() && this->events.begin()->first <= end) {
