--- a/src/agent/agent_core.cc
+++ b/src/agent/agent_core.cc
@@ -48,13 +48,14 @@
   this->implementation->OnEngineEvent(event, now);
 }
 
-void AgentCore::OnTurnsRead(const Result<cluster::ILog::Read>& read,
-                            Instant now) {
-  this->implementation->OnTurnsRead(read, now);
+void AgentCore::OnMaintenanceRead(const Result<cluster::ILog::Read>& read,
+                                  Instant now) {
+  this->implementation->OnMaintenanceRead(read, now);
 }
 
-void AgentCore::OnTurnAppended(const Result<LogOffset>& appended, Instant now) {
-  this->implementation->OnTurnAppended(appended, now);
+void AgentCore::OnMaintenanceAppended(const Result<LogOffset>& appended,
+                                      Instant now) {
+  this->implementation->OnMaintenanceAppended(appended, now);
 }
 
 void AgentCore::OnTimer(Instant now) {
@@ -94,12 +95,12 @@
   return this->implementation->Orders();
 }
 
-LogOffset AgentCore::newest_manifest_heard() const {
-  return this->implementation->NewestManifestHeard();
+LogOffset AgentCore::newest_reported_manifest() const {
+  return this->implementation->NewestReportedManifest();
 }
 
-bool AgentCore::alone() const {
-  return this->implementation->Alone();
+bool AgentCore::has_no_sessions() const {
+  return this->implementation->HasNoSessions();
 }
 
 std::vector<AttemptId> AgentCore::held_attempts() const {
--- a/src/agent/agent_core.h
+++ b/src/agent/agent_core.h
@@ -58,8 +58,8 @@
   void OnEngineEvent(const engine::EngineEvent& event, Instant now);
   // The answer to a ReadMaintenanceStream or an AppendMaintenanceRecord. Errors
   // in them: as ILog's.
-  void OnTurnsRead(const Result<cluster::ILog::Read>& read, Instant now);
-  void OnTurnAppended(const Result<LogOffset>& appended, Instant now);
+  void OnMaintenanceRead(const Result<cluster::ILog::Read>& read, Instant now);
+  void OnMaintenanceAppended(const Result<LogOffset>& appended, Instant now);
   // Call at or after next_timer().
   void OnTimer(Instant now);
 
@@ -87,10 +87,10 @@
   // The manifest offset above the one in force here that an entry has named
   // last: the process has to fetch a newer manifest. Not the highest of all:
   // an entry that names one which never comes must not hide the others' word.
-  LogOffset newest_manifest_heard() const;
+  LogOffset newest_reported_manifest() const;
 
   // No entry has a session here: nobody tells of newer manifests.
-  bool alone() const;
+  bool has_no_sessions() const;
 
   // What the invariant checker of the scenarios looks at: every attempt that
   // holds a reservation, engine memory, an export or a call here.
--- a/src/agent/internal/agent_implementation.cc
+++ b/src/agent/internal/agent_implementation.cc
@@ -19,17 +19,18 @@
       attempts({.check = this->options.rules.check_attempts}),
       audit({}),
       drain(this->options.drain_grace),
-      orders({.take_turns = this->options.order_turns}, random_source),
-      turns(this->options, random_source),
+      orders({.use_maintenance_queue = this->options.use_maintenance_queue},
+             random_source),
+      maintenance_permission(this->options, random_source),
       parts{this->options, this->outbox, this->attempts, this->audit,
             this->counters},
-      gate(this->parts,
-           this->sessions,
-           this->drain,
-           this->orders,
-           [this](const AttemptId& attempt, Instant now) {
-             this->Release(attempt, now);
-           }),
+      attempt_admission(this->parts,
+                        this->sessions,
+                        this->drain,
+                        this->orders,
+                        [this](const AttemptId& attempt, Instant now) {
+                          this->Release(attempt, now);
+                        }),
       decode(this->parts),
       prefill(this->parts),
       calls(this->parts) {}
@@ -62,7 +63,7 @@
   }
   std::visit([&](const auto& typed) { this->On(session, typed, now); },
              message);
-  this->PursueOrders(now);
+  this->AdvanceOrders(now);
 }
 
 void AgentCore::Implementation::OnSessionClosed(SessionId session,
@@ -70,27 +71,27 @@
   this->Expire(now);
   this->sessions.Close(session);
   this->FreeSession(session, now);
-  this->PursueOrders(now);
+  this->AdvanceOrders(now);
 }
 
 void AgentCore::Implementation::OnEngineEvent(const engine::EngineEvent& event,
                                               Instant now) {
   this->Expire(now);
   std::visit([&](const auto& typed) { this->On(typed, now); }, event);
-  this->PursueOrders(now);
+  this->AdvanceOrders(now);
 }
 
 void AgentCore::Implementation::OnManifest(
     std::shared_ptr<const manifest::Manifest> newest,
     Instant now) {
   this->Expire(now);
-  if (newest == nullptr || (this->manifest_in_force != nullptr &&
+  if (newest == nullptr || (this->active_manifest != nullptr &&
                             newest->offset <= this->ManifestOffset())) {
     return;
   }
-  this->manifest_in_force = std::move(newest);
+  this->active_manifest = std::move(newest);
   const manifest::Endpoint* endpoint =
-      this->manifest_in_force->FindEndpoint(this->options.endpoint);
+      this->active_manifest->FindEndpoint(this->options.endpoint);
   if (endpoint == nullptr) {
     return;
   }
@@ -100,12 +101,13 @@
   this->wanted_role = endpoint->role;
   this->leaves_pool = endpoint->leaving;
   if (std::optional<engine::Order> wanted =
-          EngineOrders::WantedBy(*this->manifest_in_force, *endpoint)) {
-    this->orders.Want(std::move(*wanted), now);
-    if (this->options.order_turns) {
-      this->turns.SetPool(*this->manifest_in_force, *endpoint, now);
+          EngineOrders::WantedBy(*this->active_manifest, *endpoint)) {
+    this->orders.SetWanted(std::move(*wanted), now);
+    if (this->options.use_maintenance_queue) {
+      this->maintenance_permission.SetPool(*this->active_manifest, *endpoint,
+                                           now);
     }
-    this->PursueOrders(now);
+    this->AdvanceOrders(now);
   }
   if (endpoint->leaving) {
     this->Drain(DrainState::Cause::kManifest, now);
@@ -114,20 +116,20 @@
   }
 }
 
-void AgentCore::Implementation::OnTurnsRead(
+void AgentCore::Implementation::OnMaintenanceRead(
     const Result<cluster::ILog::Read>& read,
     Instant now) {
   this->Expire(now);
-  this->turns.keeper().OnRead(read, now);
-  this->PursueOrders(now);
+  this->maintenance_permission.queue_client().OnRead(read, now);
+  this->AdvanceOrders(now);
 }
 
-void AgentCore::Implementation::OnTurnAppended(
+void AgentCore::Implementation::OnMaintenanceAppended(
     const Result<LogOffset>& appended,
     Instant now) {
   this->Expire(now);
-  this->turns.keeper().OnAppended(appended, now);
-  this->PursueOrders(now);
+  this->maintenance_permission.queue_client().OnAppended(appended, now);
+  this->AdvanceOrders(now);
 }
 
 void AgentCore::Implementation::BeginDrain(Instant now) {
@@ -148,12 +150,12 @@
   if (this->audit.TakeDue(now)) {
     this->outbox.Execute(engine::ListHeld{});
   }
-  if (this->drain.TakeGraceOver(now)) {
+  if (this->drain.TakeGraceEnded(now)) {
     this->decode.EndAll(now);
     this->prefill.EndAll(now);
     this->calls.EndAll(now);
   }
-  this->PursueOrders(now);
+  this->AdvanceOrders(now);
 }
 
 // ---- state ----
@@ -167,7 +169,7 @@
                    this->prefill.next_timer(), this->calls.next_timer(),
                    this->audit.next_timer(), this->drain.next_timer(),
                    this->orders.next_timer(),
-                   this->turns.keeper().next_timer()});
+                   this->maintenance_permission.queue_client().next_timer()});
 }
 
 protocol::EndpointLoad AgentCore::Implementation::Load(Instant now) const {
@@ -188,13 +190,14 @@
 }
 
 OrderStatus AgentCore::Implementation::Orders() const {
-  const maintenance::MaintenanceQueueClient& keeper = this->turns.keeper();
+  const maintenance::MaintenanceQueueClient& queue_client =
+      this->maintenance_permission.queue_client();
   OrderStatus status{.confirmed = this->orders.confirmed(),
                      .out = this->orders.out(),
-                     .wish = this->orders.turn_wish(),
-                     .appends = keeper.appends()};
-  if (const std::optional<std::size_t> rank = keeper.Rank()) {
-    status.before = *rank;
+                     .intent = this->orders.maintenance_intent(),
+                     .appends = queue_client.appends()};
+  if (const std::optional<std::size_t> rank = queue_client.Rank()) {
+    status.members_ahead = *rank;
   }
   return status;
 }
@@ -293,7 +296,7 @@
 }
 
 void AgentCore::Implementation::Release(const AttemptId& attempt, Instant now) {
-  this->attempts.CloseOver(attempt, now);
+  this->attempts.CloseEnded(attempt, now);
   this->decode.Release(attempt, now);
   this->prefill.Release(attempt, now);
   this->calls.Release(attempt, now);
@@ -320,35 +323,37 @@
 
 // ---- orders and drain ----
 
-void AgentCore::Implementation::PursueTurn(Instant now) {
-  if (!this->options.order_turns) {
+void AgentCore::Implementation::AdvanceMaintenance(Instant now) {
+  if (!this->options.use_maintenance_queue) {
     return;
   }
   // One that leaves its pool by the manifest is no member: it needs no turn,
   // and must not give back the one in which it may be out. An agent that only
   // ends itself leaves its endpoint in the pool, for a successor.
   const bool leaving = this->leaves_pool;
-  const maintenance::MaintenanceIntent wish =
+  const maintenance::MaintenanceIntent intent =
       leaving ? maintenance::MaintenanceIntent::kKeep
-              : this->orders.turn_wish();
-  if (wish == maintenance::MaintenanceIntent::kEnter) {
-    this->turns.Note(this->Load(now), now);
+              : this->orders.maintenance_intent();
+  if (intent == maintenance::MaintenanceIntent::kEnter) {
+    this->maintenance_permission.NoteLoad(this->Load(now), now);
   } else {
-    this->turns.StopNoting();
+    this->maintenance_permission.StopObserving();
   }
-  maintenance::MaintenanceQueueClient& keeper = this->turns.keeper();
-  keeper.SetIntent(wish, now);
-  keeper.OnTimer(now);
-  for (maintenance::MaintenanceAction& action : keeper.TakeActions()) {
-    this->outbox.Ask(std::move(action));
+  maintenance::MaintenanceQueueClient& queue_client =
+      this->maintenance_permission.queue_client();
+  queue_client.SetIntent(intent, now);
+  queue_client.OnTimer(now);
+  for (maintenance::MaintenanceAction& action : queue_client.TakeActions()) {
+    this->outbox.Submit(std::move(action));
   }
-  const bool may_go = wish == maintenance::MaintenanceIntent::kEnter &&
-                      this->turns.MayGo(this->Idle(), this->orders.out(), now);
-  this->orders.SetTurn(leaving || may_go, now);
+  const bool may_go = intent == maintenance::MaintenanceIntent::kEnter &&
+                      this->maintenance_permission.MayLeaveService(
+                          this->Idle(), this->orders.out(), now);
+  this->orders.SetMaintenanceGranted(leaving || may_go, now);
 }
 
-void AgentCore::Implementation::PursueOrders(Instant now) {
-  this->PursueTurn(now);
+void AgentCore::Implementation::AdvanceOrders(Instant now) {
+  this->AdvanceMaintenance(now);
   if (std::optional<engine::EngineCommand> due =
           this->orders.TakeDue(this->Idle(), now)) {
     this->outbox.Execute(std::move(*due));
@@ -374,8 +379,8 @@
 }
 
 LogOffset AgentCore::Implementation::ManifestOffset() const {
-  return this->manifest_in_force == nullptr ? LogOffset()
-                                            : this->manifest_in_force->offset;
+  return this->active_manifest == nullptr ? LogOffset()
+                                          : this->active_manifest->offset;
 }
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/agent_implementation.h
+++ b/src/agent/internal/agent_implementation.h
@@ -7,17 +7,17 @@
 #include <vector>
 
 #include "agent/agent_core.h"
-#include "agent/internal/admission_gate.h"
+#include "agent/internal/attempt_admission.h"
 #include "agent/internal/call_work.h"
 #include "agent/internal/decode_work.h"
 #include "agent/internal/drain_state.h"
 #include "agent/internal/engine_audit.h"
 #include "agent/internal/engine_orders.h"
+#include "agent/internal/maintenance_permission.h"
 #include "agent/internal/outbox.h"
 #include "agent/internal/prefill_work.h"
 #include "agent/internal/session_table.h"
 #include "agent/internal/shared_parts.h"
-#include "agent/internal/turn_taker.h"
 
 namespace acacialug::agent {
 
@@ -43,8 +43,8 @@
   void OnEngineEvent(const engine::EngineEvent& event, Instant now);
   void OnManifest(std::shared_ptr<const manifest::Manifest> newest,
                   Instant now);
-  void OnTurnsRead(const Result<cluster::ILog::Read>& read, Instant now);
-  void OnTurnAppended(const Result<LogOffset>& appended, Instant now);
+  void OnMaintenanceRead(const Result<cluster::ILog::Read>& read, Instant now);
+  void OnMaintenanceAppended(const Result<LogOffset>& appended, Instant now);
   void BeginDrain(Instant now);
   void Expire(Instant now);
 
@@ -56,8 +56,10 @@
   std::vector<AgentAction> TakeActions() { return this->outbox.Take(); }
   const AgentCounters& Counters() const { return this->counters; }
   OrderStatus Orders() const;
-  LogOffset NewestManifestHeard() const { return this->newest_heard; }
-  bool Alone() const { return this->sessions.empty(); }
+  LogOffset NewestReportedManifest() const {
+    return this->newest_reported_manifest;
+  }
+  bool HasNoSessions() const { return this->sessions.empty(); }
 
  private:
   void On(SessionId session, const protocol::Hello& hello, Instant now);
@@ -82,7 +84,7 @@
   void On(const engine::OrderDone& done, Instant now);
   void On(const engine::EngineState& state, Instant now);
 
-  void HearOf(LogOffset manifest);
+  void NoteManifestOffset(LogOffset manifest);
   bool Holds(const AttemptId& attempt) const;
   void CountUnknown(bool known);
   // Frees all that the attempt holds and closes it.
@@ -92,9 +94,9 @@
   void FreeSession(SessionId session, Instant now);
   // Tells the pool's order of turns what the engine needs, and the orders
   // whether their turn has come.
-  void PursueTurn(Instant now);
+  void AdvanceMaintenance(Instant now);
   // Sends the order or question to the engine that is due.
-  void PursueOrders(Instant now);
+  void AdvanceOrders(Instant now);
   bool Idle() const;
   void Drain(DrainState::Cause cause, Instant now);
   void SendLeaving(SessionId session, Instant now);
@@ -108,16 +110,16 @@
   EngineAudit audit;
   DrainState drain;
   EngineOrders orders;
-  TurnTaker turns;
+  MaintenancePermission maintenance_permission;
   SharedParts parts;
-  AdmissionGate gate;
+  AttemptAdmission attempt_admission;
   DecodeWork decode;
   PrefillWork prefill;
   CallWork calls;
-  std::shared_ptr<const manifest::Manifest> manifest_in_force;
+  std::shared_ptr<const manifest::Manifest> active_manifest;
   protocol::EndpointRole wanted_role = protocol::EndpointRole::kPlain;
   bool leaves_pool = false;  // by the manifest in force
-  LogOffset newest_heard;
+  LogOffset newest_reported_manifest;
   std::uint16_t heartbeat_port = 0;
 };
 
--- a/src/agent/internal/agent_implementation_messages.cc
+++ b/src/agent/internal/agent_implementation_messages.cc
@@ -20,7 +20,7 @@
     this->EndSession(session, greeting.code, now);
     return;
   }
-  this->HearOf(hello.manifest);
+  this->NoteManifestOffset(hello.manifest);
   this->outbox.Send(
       session,
       protocol::Welcome{.endpoint = this->options.endpoint,
@@ -37,9 +37,9 @@
   }
 }
 
-void AgentCore::Implementation::HearOf(LogOffset manifest) {
+void AgentCore::Implementation::NoteManifestOffset(LogOffset manifest) {
   if (manifest > this->ManifestOffset()) {
-    this->newest_heard = manifest;
+    this->newest_reported_manifest = manifest;
   }
 }
 
@@ -50,7 +50,7 @@
     this->EndSession(session, ResultCode::kBadFrame, now);
     return;
   }
-  this->HearOf(renew.manifest);
+  this->NoteManifestOffset(renew.manifest);
   this->outbox.Send(
       session,
       protocol::Renewed{.manifest = this->ManifestOffset(),
@@ -71,12 +71,12 @@
     return answer;
   }
   ++this->counters.heartbeats;
-  this->HearOf(heartbeat.manifest);
+  this->NoteManifestOffset(heartbeat.manifest);
   const protocol::EndpointLoad load = this->Load(now);
   answer->agent = this->options.incarnation;
   answer->manifest = this->ManifestOffset();
   answer->leaving = load.leaving;
-  this->sessions.processes().TellLoad(heartbeat, load, *answer);
+  this->sessions.processes().ReportLoad(heartbeat, load, *answer);
   return answer;
 }
 
@@ -84,11 +84,11 @@
                                    const protocol::Reserve& reserve,
                                    Instant now) {
   const AttemptId& attempt = reserve.attempt;
-  const std::optional<Admission> admission = this->gate.Admit(
+  const std::optional<Admission> admission = this->attempt_admission.Admit(
       session, attempt, EndpointRole::kDecode, Phase::kReserve, now);
   if (admission == Admission::kOpen ||
       (admission == Admission::kNew &&
-       this->gate.TakesNew(attempt, Phase::kReserve, now))) {
+       this->attempt_admission.TakesNew(attempt, Phase::kReserve, now))) {
     this->decode.OnReserve(reserve, now);
   }
 }
@@ -97,9 +97,9 @@
                                    const protocol::StartPrefill& start,
                                    Instant now) {
   const AttemptId& attempt = start.attempt;
-  if (this->gate.AdmitOnce(session, attempt, EndpointRole::kPrefill,
-                           Phase::kPrefill, now) &&
-      this->gate.TakesNew(attempt, Phase::kPrefill, now)) {
+  if (this->attempt_admission.AdmitOnce(
+          session, attempt, EndpointRole::kPrefill, Phase::kPrefill, now) &&
+      this->attempt_admission.TakesNew(attempt, Phase::kPrefill, now)) {
     this->prefill.OnStartPrefill(start, now);
   }
 }
@@ -108,11 +108,12 @@
                                    const protocol::StartDecode& start,
                                    Instant now) {
   const AttemptId& attempt = start.attempt;
-  const std::optional<Admission> admission = this->gate.Admit(
+  const std::optional<Admission> admission = this->attempt_admission.Admit(
       session, attempt, EndpointRole::kDecode, Phase::kDecode, now);
   // What has a reservation was let in before a drain began.
-  if (!admission || (admission == Admission::kNew &&
-                     !this->gate.TakesNew(attempt, Phase::kDecode, now))) {
+  if (!admission ||
+      (admission == Admission::kNew &&
+       !this->attempt_admission.TakesNew(attempt, Phase::kDecode, now))) {
     return;
   }
   // Without the reservation nobody knows whether the engine has room: it
@@ -126,7 +127,7 @@
 void AgentCore::Implementation::On(SessionId session,
                                    const protocol::Acknowledge& acknowledge,
                                    Instant now) {
-  if (this->gate.IsOwn(session, acknowledge.attempt)) {
+  if (this->attempt_admission.IsOwn(session, acknowledge.attempt)) {
     this->decode.OnAcknowledge(acknowledge, now);
   }
 }
@@ -135,9 +136,9 @@
                                    const protocol::StartCall& start,
                                    Instant now) {
   const AttemptId& attempt = start.attempt;
-  if (!this->gate.AdmitOnce(session, attempt, EndpointRole::kPlain,
-                            Phase::kCall, now) ||
-      !this->gate.IsReady(attempt, Phase::kCall, now)) {
+  if (!this->attempt_admission.AdmitOnce(session, attempt, EndpointRole::kPlain,
+                                         Phase::kCall, now) ||
+      !this->attempt_admission.IsReady(attempt, Phase::kCall, now)) {
     return;
   }
   // While draining, a resubmission still learns what became of the call.
@@ -153,8 +154,8 @@
 void AgentCore::Implementation::On(SessionId session,
                                    const protocol::Cancel& cancel,
                                    Instant now) {
-  if (this->gate.IsOwn(session, cancel.attempt)) {
-    this->gate.Cancel(session, cancel.attempt, now);
+  if (this->attempt_admission.IsOwn(session, cancel.attempt)) {
+    this->attempt_admission.Cancel(session, cancel.attempt, now);
   }
 }
 
--- a/src/agent/internal/admission_gate.cc
+++ b/src/agent/internal/attempt_admission.cc
@@ -1,4 +1,4 @@
-#include "agent/internal/admission_gate.h"
+#include "agent/internal/attempt_admission.h"
 
 #include <utility>
 
@@ -8,29 +8,29 @@
 
 using protocol::Phase;
 
-AdmissionGate::AdmissionGate(SharedParts& shared_parts,
-                             const SessionTable& session_table,
-                             const DrainState& drain_state,
-                             const EngineOrders& engine_orders,
-                             ReleaseHook release_hook)
+AttemptAdmission::AttemptAdmission(SharedParts& shared_parts,
+                                   const SessionTable& session_table,
+                                   const DrainState& drain_state,
+                                   const EngineOrders& engine_orders,
+                                   ReleaseHook release_hook)
     : parts(shared_parts),
       sessions(session_table),
       drain(drain_state),
       orders(engine_orders),
       release(std::move(release_hook)) {}
 
-bool AdmissionGate::IsOwn(SessionId session, const AttemptId& attempt) {
+bool AttemptAdmission::IsOwn(SessionId session, const AttemptId& attempt) {
   const bool own = !this->parts.options.rules.check_attempts ||
                    this->sessions.IncarnationOf(session) == attempt.entry;
   this->parts.counters.dropped_messages += own ? 0 : 1;
   return own;
 }
 
-std::optional<Admission> AdmissionGate::Admit(SessionId session,
-                                              const AttemptId& attempt,
-                                              protocol::EndpointRole role,
-                                              Phase phase,
-                                              Instant now) {
+std::optional<Admission> AttemptAdmission::Admit(SessionId session,
+                                                 const AttemptId& attempt,
+                                                 protocol::EndpointRole role,
+                                                 Phase phase,
+                                                 Instant now) {
   if (!this->IsOwn(session, attempt)) {
     this->RefuseUnadmitted(session, attempt, phase, ResultCode::kSuperseded,
                            now);
@@ -53,18 +53,18 @@
     case Admission::kRefusedBefore:
       this->RefuseUnadmitted(session, attempt, phase, opening.code, now);
       return std::nullopt;
-    case Admission::kOverBefore:
+    case Admission::kEndedBefore:
       break;
   }
   ++this->parts.counters.dropped_messages;
   return std::nullopt;
 }
 
-bool AdmissionGate::AdmitOnce(SessionId session,
-                              const AttemptId& attempt,
-                              protocol::EndpointRole role,
-                              Phase phase,
-                              Instant now) {
+bool AttemptAdmission::AdmitOnce(SessionId session,
+                                 const AttemptId& attempt,
+                                 protocol::EndpointRole role,
+                                 Phase phase,
+                                 Instant now) {
   const std::optional<Admission> admission =
       this->Admit(session, attempt, role, phase, now);
   if (admission == Admission::kOpen) {
@@ -73,9 +73,9 @@
   return admission == Admission::kNew;
 }
 
-void AdmissionGate::Cancel(SessionId session,
-                           const AttemptId& attempt,
-                           Instant now) {
+void AttemptAdmission::Cancel(SessionId session,
+                              const AttemptId& attempt,
+                              Instant now) {
   const AttemptTable::Opening opening = this->Open(session, attempt, now);
   if (opening.admission == Admission::kNew) {
     // The cancel has overtaken its start, or repeats one long done.
@@ -84,9 +84,9 @@
   this->release(attempt, now);
 }
 
-bool AdmissionGate::IsReady(const AttemptId& attempt,
-                            Phase phase,
-                            Instant now) {
+bool AttemptAdmission::IsReady(const AttemptId& attempt,
+                               Phase phase,
+                               Instant now) {
   if (!this->parts.audit.ready()) {
     this->parts.Refuse(attempt, phase, ResultCode::kNotReady,
                        Until(this->parts.audit.next_timer(), now), now);
@@ -95,9 +95,9 @@
   return true;
 }
 
-bool AdmissionGate::TakesNew(const AttemptId& attempt,
-                             Phase phase,
-                             Instant now) {
+bool AttemptAdmission::TakesNew(const AttemptId& attempt,
+                                Phase phase,
+                                Instant now) {
   if (!this->IsReady(attempt, phase, now)) {
     return false;
   }
@@ -113,9 +113,9 @@
   return true;
 }
 
-AttemptTable::Opening AdmissionGate::Open(SessionId session,
-                                          const AttemptId& attempt,
-                                          Instant now) {
+AttemptTable::Opening AttemptAdmission::Open(SessionId session,
+                                             const AttemptId& attempt,
+                                             Instant now) {
   const AttemptTable::Opening opening =
       this->parts.attempts.Open(attempt, session, now);
   if (opening.replaced) {
@@ -124,11 +124,11 @@
   return opening;
 }
 
-void AdmissionGate::RefuseUnadmitted(SessionId session,
-                                     const AttemptId& attempt,
-                                     Phase phase,
-                                     ResultCode code,
-                                     Instant now) {
+void AttemptAdmission::RefuseUnadmitted(SessionId session,
+                                        const AttemptId& attempt,
+                                        Phase phase,
+                                        ResultCode code,
+                                        Instant now) {
   // The attempt table stays as it is: it knows the attempt better.
   ++this->parts.counters.refused;
   this->parts.outbox.Send(
--- a/src/agent/internal/admission_gate.h
+++ b/src/agent/internal/attempt_admission.h
@@ -1,5 +1,5 @@
-#ifndef AGENT_INTERNAL_ADMISSION_GATE_H_
-#define AGENT_INTERNAL_ADMISSION_GATE_H_
+#ifndef AGENT_INTERNAL_ATTEMPT_ADMISSION_H_
+#define AGENT_INTERNAL_ATTEMPT_ADMISSION_H_
 
 #include <functional>
 #include <optional>
@@ -15,16 +15,16 @@
 // agent sees it: is the attempt the session's own, is it the newest, did it
 // come before, and does the endpoint take such work now. Whatever it turns
 // away it has answered or counted. Not thread safe.
-class AdmissionGate {
+class AttemptAdmission {
  public:
   // Frees what an attempt holds, since a newer one of its request has come.
   using ReleaseHook = std::function<void(const AttemptId&, Instant)>;
 
-  AdmissionGate(SharedParts& shared_parts,
-                const SessionTable& session_table,
-                const DrainState& drain_state,
-                const EngineOrders& engine_orders,
-                ReleaseHook release_hook);
+  AttemptAdmission(SharedParts& shared_parts,
+                   const SessionTable& session_table,
+                   const DrainState& drain_state,
+                   const EngineOrders& engine_orders,
+                   ReleaseHook release_hook);
 
   // Whether the session may speak of the attempt at all.
   bool IsOwn(SessionId session, const AttemptId& attempt);
@@ -73,4 +73,4 @@
 
 }  // namespace acacialug::agent
 
-#endif  // AGENT_INTERNAL_ADMISSION_GATE_H_
+#endif  // AGENT_INTERNAL_ATTEMPT_ADMISSION_H_
--- a/src/agent/internal/attempt_table.cc
+++ b/src/agent/internal/attempt_table.cc
@@ -17,14 +17,15 @@
   if (attempt.attempt < request.highest) {
     const bool ran = std::find(request.ran.begin(), request.ran.end(),
                                attempt.attempt) != request.ran.end();
-    return {.admission = ran ? Admission::kOverBefore : Admission::kSuperseded};
+    return {.admission =
+                ran ? Admission::kEndedBefore : Admission::kSuperseded};
   }
   if (attempt.attempt == request.highest) {
     switch (request.state) {
       case State::kNotRun:
         return {.admission = Admission::kRefusedBefore, .code = request.code};
-      case State::kOver:
-        return {.admission = Admission::kOverBefore};
+      case State::kEnded:
+        return {.admission = Admission::kEndedBefore};
       case State::kOpen:
         this->Bind(attempt, session, now);
         return {.admission = Admission::kOpen};
@@ -54,8 +55,8 @@
   this->Close(attempt, State::kNotRun, code, now);
 }
 
-void AttemptTable::CloseOver(const AttemptId& attempt, Instant now) {
-  this->Close(attempt, State::kOver, ResultCode::kOk, now);
+void AttemptTable::CloseEnded(const AttemptId& attempt, Instant now) {
+  this->Close(attempt, State::kEnded, ResultCode::kOk, now);
 }
 
 std::optional<SessionId> AttemptTable::SessionOf(
--- a/src/agent/internal/attempt_table.h
+++ b/src/agent/internal/attempt_table.h
@@ -21,14 +21,14 @@
   kNew,            // first message of this attempt
   kOpen,           // the attempt is under way here
   kRefusedBefore,  // closed without having run; the refusal may be repeated
-  kOverBefore,     // it ran here before: a repeated message, to be dropped
+  kEndedBefore,    // it ran here before: a repeated message, to be dropped
   kSuperseded,     // a newer attempt of the request was seen, this one not
 };
 inline constexpr EnumNames<Admission, 5> kAdmissionNames = {{
     {Admission::kNew, "new"},
     {Admission::kOpen, "open"},
     {Admission::kRefusedBefore, "refused_before"},
-    {Admission::kOverBefore, "over_before"},
+    {Admission::kEndedBefore, "over_before"},
     {Admission::kSuperseded, "superseded"},
 }};
 
@@ -59,7 +59,7 @@
   // Closes an attempt of which nothing ran and nothing will.
   void CloseNotRun(const AttemptId& attempt, ResultCode code, Instant now);
   // Closes an attempt that ran, or may have.
-  void CloseOver(const AttemptId& attempt, Instant now);
+  void CloseEnded(const AttemptId& attempt, Instant now);
 
   std::optional<SessionId> SessionOf(const AttemptId& attempt) const;
   // When the attempt's first message came; empty unless it is open.
@@ -72,7 +72,7 @@
   std::size_t remembered() const { return this->seen.size(); }
 
  private:
-  enum class State : std::uint8_t { kOpen, kNotRun, kOver };
+  enum class State : std::uint8_t { kOpen, kNotRun, kEnded };
   struct Seen {
     AttemptNumber highest;
     State state = State::kOpen;
--- a/src/agent/internal/bounded_time.h
+++ b/src/agent/internal/bounded_time.h
@@ -10,21 +10,21 @@
 // A peer may send any 64-bit duration. Added to `now` unchecked it overflows,
 // and a deadline far away becomes one long past; so every duration from
 // outside is clamped to this before it is added.
-inline constexpr Duration kLongestWait = 30 * 24h;
+inline constexpr Duration kMaxWait = 30 * 24h;
 
 inline Instant After(Instant now, Duration wait) {
-  return now + std::clamp(wait, Duration::zero(), kLongestWait);
+  return now + std::clamp(wait, Duration::zero(), kMaxWait);
 }
 
 // Precondition: `seconds` is a number.
 inline Duration BoundedSeconds(double seconds) {
-  return FromSeconds(std::clamp(seconds, 0.0, Seconds(kLongestWait)));
+  return FromSeconds(std::clamp(seconds, 0.0, Seconds(kMaxWait)));
 }
 
 // The time from `now` to `instant`; zero when that has passed.
 inline Duration Until(Instant instant, Instant now) {
   return instant <= now ? Duration::zero()
-                        : std::min<Duration>(instant - now, kLongestWait);
+                        : std::min<Duration>(instant - now, kMaxWait);
 }
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/call_work.cc
+++ b/src/agent/internal/call_work.cc
@@ -79,7 +79,7 @@
   this->DropQueued(attempt);
   const std::uint64_t number = ++this->next_number;
   this->queue.emplace(number, Queued{.start = start, .arrived = now});
-  this->queue_places[attempt] = number;
+  this->queue_numbers[attempt] = number;
   this->latest_starts.Set(attempt, After(now, start.start_within));
   this->Dispatch(now);
 }
@@ -116,7 +116,7 @@
                                  .answer = *this->ledger.AnswerOf(start.once),
                                  .replayed = true},
           now);
-      this->parts.attempts.CloseOver(attempt, now);
+      this->parts.attempts.CloseEnded(attempt, now);
       return false;
     case OnceVerdict::kSealed:
     case OnceVerdict::kWrongHome:
@@ -165,23 +165,23 @@
     const AttemptId attempt = next.start.attempt;
     this->DropQueued(attempt);
     const Instant deadline = After(next.arrived, next.start.finish_within);
-    const Instant give_up = now + this->parts.options.call_limit;
+    const Instant end_by = now + this->parts.options.call_limit;
     this->running.insert_or_assign(
         attempt,
-        Running{.once = next.start.once, .started = now, .give_up = give_up});
-    this->deadlines.Set(attempt, std::min(deadline, give_up));
+        Running{.once = next.start.once, .started = now, .end_by = end_by});
+    this->deadlines.Set(attempt, std::min(deadline, end_by));
     this->parts.outbox.Execute(engine::Call{
         .attempt = attempt, .request = std::move(next.start.request)});
   }
 }
 
 bool CallWork::DropQueued(const AttemptId& attempt) {
-  const auto place = this->queue_places.find(attempt);
-  if (place == this->queue_places.end()) {
+  const auto place = this->queue_numbers.find(attempt);
+  if (place == this->queue_numbers.end()) {
     return false;
   }
   this->queue.erase(place->second);
-  this->queue_places.erase(place);
+  this->queue_numbers.erase(place);
   this->latest_starts.Remove(attempt);
   return true;
 }
@@ -199,12 +199,12 @@
   if (!MayRepeat(call.once)) {
     this->ledger.Complete(call.once, done.answer, now);
   }
-  if (call.waited_for) {
+  if (call.has_caller) {
     this->parts.Reply(
         done.attempt,
         protocol::CallAnswered{.attempt = done.attempt, .answer = done.answer},
         now);
-    this->parts.attempts.CloseOver(done.attempt, now);
+    this->parts.attempts.CloseEnded(done.attempt, now);
   }
   this->Dispatch(now);
   return true;
@@ -224,7 +224,7 @@
   } else if (!MayRepeat(call.once)) {
     this->ledger.SetUnknown(call.once, now);
   }
-  if (call.waited_for) {
+  if (call.has_caller) {
     this->parts.Fail(failed.attempt, Phase::kCall, failed.code,
                      not_run ? Outcome::kNotRun : Outcome::kUnknown, now);
   }
@@ -233,8 +233,8 @@
 }
 
 void CallWork::Release(const AttemptId& attempt, Instant now) {
-  const auto place = this->queue_places.find(attempt);
-  if (place != this->queue_places.end()) {
+  const auto place = this->queue_numbers.find(attempt);
+  if (place != this->queue_numbers.end()) {
     this->ReleaseKey(this->queue.at(place->second).start.once);
     this->DropQueued(attempt);
     return;
@@ -245,8 +245,8 @@
   }
   Running& call = found->second;
   if (!MayRepeat(call.once)) {
-    call.waited_for = false;
-    this->deadlines.Set(attempt, call.give_up);
+    call.has_caller = false;
+    this->deadlines.Set(attempt, call.end_by);
     return;
   }
   this->running.erase(found);
@@ -259,7 +259,7 @@
   while (const std::optional<AttemptId> attempt =
              this->latest_starts.PopDue(now)) {
     this->ReleaseKey(
-        this->queue.at(this->queue_places.at(*attempt)).start.once);
+        this->queue.at(this->queue_numbers.at(*attempt)).start.once);
     this->DropQueued(*attempt);
     this->parts.Refuse(*attempt, Phase::kCall, ResultCode::kDeadlineUnreachable,
                        this->WaitAhead(), now);
@@ -271,7 +271,7 @@
 
 void CallWork::OnDeadline(const AttemptId& attempt, Instant now) {
   Running& call = this->running.at(attempt);
-  if (now >= call.give_up) {
+  if (now >= call.end_by) {
     this->GiveUp(attempt, ResultCode::kEngineFailed, now);
     return;
   }
@@ -287,7 +287,7 @@
   if (!MayRepeat(call.once)) {
     this->ledger.SetUnknown(call.once, now);
   }
-  if (call.waited_for) {
+  if (call.has_caller) {
     this->parts.Fail(attempt, Phase::kCall, code, Outcome::kUnknown, now);
   }
   this->parts.Abort(attempt, now);
@@ -324,7 +324,7 @@
 
 bool CallWork::Holds(const AttemptId& attempt) const {
   return this->running.contains(attempt) ||
-         this->queue_places.contains(attempt);
+         this->queue_numbers.contains(attempt);
 }
 
 std::vector<AttemptId> CallWork::held() const {
--- a/src/agent/internal/call_work.h
+++ b/src/agent/internal/call_work.h
@@ -54,8 +54,8 @@
   struct Running {
     protocol::Once once;
     Instant started;
-    Instant give_up;  // by then the call has answered or is given up
-    bool waited_for = true;
+    Instant end_by;  // by then the call has answered or is given up
+    bool has_caller = true;
   };
 
   // True when the ledger lets the call run; otherwise it was answered.
@@ -78,7 +78,7 @@
   OnceLedger ledger;
   std::uint64_t next_number = 0;
   std::map<std::uint64_t, Queued> queue;  // by arrival
-  std::unordered_map<AttemptId, std::uint64_t> queue_places;
+  std::unordered_map<AttemptId, std::uint64_t> queue_numbers;
   DeadlineSet<AttemptId> latest_starts;
   std::unordered_map<AttemptId, Running> running;
   DeadlineSet<AttemptId> deadlines;
--- a/src/agent/internal/decode_work.cc
+++ b/src/agent/internal/decode_work.cc
@@ -17,10 +17,10 @@
 
 // An engine that makes no token for any of its streams for so many usual
 // intervals, and for so long, stands still.
-constexpr std::int64_t kSilentIntervals = 10;
-constexpr Duration kShortestSilence = 300ms;
+constexpr std::int64_t kTimeoutIntervals = 10;
+constexpr Duration kMinResponseTimeout = 300ms;
 // A look at that silence that comes so late tells of this process instead.
-constexpr Duration kLateLook = 100ms;
+constexpr Duration kLateCheck = 100ms;
 
 }  // namespace
 
@@ -41,7 +41,7 @@
     return;
   }
   const bool repeated = this->memory.Holds(attempt);
-  if (!repeated && this->RefuseWhileSilent(attempt, Phase::kReserve, now)) {
+  if (!repeated && this->RefuseWhileStalled(attempt, Phase::kReserve, now)) {
     return;
   }
   const DecodeMemory::Answer place =
@@ -83,7 +83,7 @@
     ++this->parts.counters.dropped_messages;
     return;
   }
-  if (this->RefuseWhileSilent(attempt, Phase::kDecode, now)) {
+  if (this->RefuseWhileStalled(attempt, Phase::kDecode, now)) {
     return;
   }
   if (!this->memory.Holds(attempt)) {
@@ -98,11 +98,11 @@
     }
   }
   if (!this->StartNow(start, now)) {
-    this->LetWait(start, now);
+    this->AddWaiting(start, now);
   }
 }
 
-Instant DecodeWork::OwedSince(Judged judged) const {
+Instant DecodeWork::AwaitingTokenSince(StreamScope scope) const {
   Instant latest = Instant::min();  // token of any stream
   Instant earliest = kNever;        // start of one that has none yet
   for (const auto& [attempt, stream] : this->streams) {
@@ -116,19 +116,19 @@
     }
   }
   if (latest == Instant::min()) {
-    if (earliest == kNever || judged == Judged::kByTokens) {
+    if (earliest == kNever || scope == StreamScope::kStreaming) {
       return kNever;
     }
     // Imports come before first tokens, and take up to the exports' lifetime.
     latest = earliest + this->parts.options.export_lifetime;
   }
-  return std::max(latest, this->listening_from);
+  return std::max(latest, this->last_stall_ended_at);
 }
 
-Duration DecodeWork::Silence(Instant now, Judged judged) const {
-  const Instant since = this->OwedSince(judged);
+Duration DecodeWork::UnresponsiveFor(Instant now, StreamScope scope) const {
+  const Instant since = this->AwaitingTokenSince(scope);
   const Duration bound =
-      std::max(kShortestSilence, kSilentIntervals * this->pace.interval());
+      std::max(kMinResponseTimeout, kTimeoutIntervals * this->pace.interval());
   return since == kNever || now - since < bound ? Duration::zero()
                                                 : now - since;
 }
@@ -138,18 +138,19 @@
 // sessions before the engine's stream. A look that is late tells of it; time
 // counts as the engine's silence from then on only. Not twice in a row, or
 // with an agent that is always late no engine would ever count as silent.
-void DecodeWork::Look(Instant now) {
-  if (now < this->look_at && this->look_at != kNever) {
+void DecodeWork::CheckForProcessStall(Instant now) {
+  if (now < this->next_stall_check && this->next_stall_check != kNever) {
     return;
   }
-  const bool late = this->look_at != kNever && now - this->look_at >= kLateLook;
-  this->stood_still = late && !this->stood_still;
-  if (this->stood_still) {
-    this->listening_from = now;
+  const bool late = this->next_stall_check != kNever &&
+                    now - this->next_stall_check >= kLateCheck;
+  this->process_stalled = late && !this->process_stalled;
+  if (this->process_stalled) {
+    this->last_stall_ended_at = now;
   }
-  this->look_at = this->OwedSince(Judged::kByAll) == kNever
-                      ? kNever
-                      : now + kShortestSilence;
+  this->next_stall_check = this->AwaitingTokenSince(StreamScope::kAll) == kNever
+                               ? kNever
+                               : now + kMinResponseTimeout;
 }
 
 // Symptom: requests that came while an engine stood still miss their first
@@ -157,17 +158,17 @@
 // room. Sequence: the engine stops, its memory shows free places, and the
 // entries fill them. Cause: only a stream's own timeout told of it, seconds
 // later.
-bool DecodeWork::RefuseWhileSilent(const AttemptId& attempt,
-                                   Phase phase,
-                                   Instant now) {
-  if (this->Silence(now, Judged::kByAll) == Duration::zero()) {
+bool DecodeWork::RefuseWhileStalled(const AttemptId& attempt,
+                                    Phase phase,
+                                    Instant now) {
+  if (this->UnresponsiveFor(now, StreamScope::kAll) == Duration::zero()) {
     return false;
   }
-  ++this->parts.counters.refused_while_silent;
+  ++this->parts.counters.refused_while_stalled;
   this->memory.Release(attempt, now);
   this->link.Release(attempt);
   this->parts.Refuse(attempt, phase, ResultCode::kNoDecodeMemory,
-                     kShortestSilence, now);
+                     kMinResponseTimeout, now);
   return true;
 }
 
@@ -189,17 +190,18 @@
       break;
   }
   this->link.Begin(attempt, now);
-  this->streams.emplace(attempt, Stream{.flow = StreamFlow(start.window_chunks),
-                                        .asked = start.generation.max_tokens,
-                                        .progress = now});
-  this->stalls.Set(attempt, now + kShortestSilence);
-  this->Look(now);
+  this->streams.emplace(attempt,
+                        Stream{.flow = StreamFlow(start.window_chunks),
+                               .requested = start.generation.max_tokens,
+                               .progress = now});
+  this->stalls.Set(attempt, now + kMinResponseTimeout);
+  this->CheckForProcessStall(now);
   this->parts.outbox.Execute(engine::Decode{
       .attempt = attempt, .generation = start.generation, .kv = start.kv});
   return true;
 }
 
-void DecodeWork::LetWait(const protocol::StartDecode& start, Instant now) {
+void DecodeWork::AddWaiting(const protocol::StartDecode& start, Instant now) {
   this->memory.KeepReservation(start.attempt);
   this->waiting.push_back(start);
   // Longer than the prefill's export lives the wait would be in vain.
@@ -238,7 +240,8 @@
   this->Measure(stream, text.tokens, now);
   stream.flow.Add(text.text, text.tokens);
   this->memory.PredictEnd(
-      text.attempt, now + this->pace.Remaining(stream.produced, stream.asked));
+      text.attempt,
+      now + this->pace.Remaining(stream.produced, stream.requested));
   this->Flush(text.attempt, stream, now);
   return true;
 }
@@ -258,7 +261,7 @@
     return false;
   }
   Stream& stream = found->second;
-  this->pace.OnFinished(stream.produced, stream.asked);
+  this->pace.OnFinished(stream.produced, stream.requested);
   stream.end = protocol::Ended{.attempt = done.attempt,
                                .chunks = stream.flow.chunks(),
                                .reason = done.reason,
@@ -294,7 +297,7 @@
   if (stream.end) {
     if (stream.flow.nothing_waits()) {
       this->parts.Reply(attempt, *stream.end, now);
-      this->parts.attempts.CloseOver(attempt, now);
+      this->parts.attempts.CloseEnded(attempt, now);
       this->streams.erase(attempt);
     }
     return;
@@ -341,7 +344,7 @@
 }
 
 void DecodeWork::Expire(Instant now) {
-  this->Look(now);
+  this->CheckForProcessStall(now);
   for (const AttemptId& attempt : this->memory.Expire(now)) {
     ++this->parts.counters.reservations_lapsed;
     this->link.Release(attempt);
@@ -370,11 +373,11 @@
     }
     const Instant stalls_at =
         stream.progress + this->parts.options.stall_timeout;
-    if (stalls_at > now && !this->StartsInVain(stream, due, now)) {
+    if (stalls_at > now && !this->StartsInStalledEngine(stream, due, now)) {
       this->stalls.Set(attempt,
                        stream.produced > 0
                            ? stalls_at
-                           : std::min(stalls_at, now + kShortestSilence));
+                           : std::min(stalls_at, now + kMinResponseTimeout));
       continue;
     }
     ++this->parts.counters.streams_stalled;
@@ -387,12 +390,12 @@
 // Symptom: requests whose stream was started just before an engine stood still
 // wait for it, though their exports are alive and other engines have room.
 // Cause: the timeout of a stream is longer than an export lives.
-bool DecodeWork::StartsInVain(const Stream& stream,
-                              Instant due,
-                              Instant now) const {
-  return stream.produced == 0 &&
-         now - due<kLateLook&& this->Silence(now, Judged::kByTokens)>
-               Duration::zero();
+bool DecodeWork::StartsInStalledEngine(const Stream& stream,
+                                       Instant due,
+                                       Instant now) const {
+  const bool late = now - due >= kLateCheck;
+  return stream.produced == 0 && !late &&
+         this->UnresponsiveFor(now, StreamScope::kStreaming) > Duration::zero();
 }
 
 void DecodeWork::EndAll(Instant now) {
@@ -456,7 +459,7 @@
 
 Instant DecodeWork::next_timer() const {
   return std::min({this->memory.next_timer(), this->wait_limits.next(),
-                   this->stalls.next(), this->look_at});
+                   this->stalls.next(), this->next_stall_check});
 }
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/decode_work.h
+++ b/src/agent/internal/decode_work.h
@@ -54,7 +54,7 @@
  private:
   struct Stream {
     StreamFlow flow;
-    std::uint32_t asked = 0;
+    std::uint32_t requested = 0;
     std::uint32_t produced = 0;
     Instant progress;       // the engine's latest, or when it was told to go on
     bool measured = false;  // a second text in a row gives an interval
@@ -62,21 +62,21 @@
   };
 
   // By streams that had a token, or also by starts that wait for their first.
-  enum class Judged : std::uint8_t { kByTokens, kByAll };
+  enum class StreamScope : std::uint8_t { kStreaming, kAll };
 
   // Since when the engine owes its streams the next token, and this process
   // would have heard it; kNever: it owes none.
-  Instant OwedSince(Judged judged) const;
+  Instant AwaitingTokenSince(StreamScope scope) const;
   // How long it has owed it; zero while it keeps its pace, or owes none.
-  Duration Silence(Instant now, Judged judged) const;
+  Duration UnresponsiveFor(Instant now, StreamScope scope) const;
   // Finds out whether this process itself stood still.
-  void Look(Instant now);
+  void CheckForProcessStall(Instant now);
   // Refuses the attempt as not run while the engine stands still.
-  bool RefuseWhileSilent(const AttemptId& attempt,
-                         protocol::Phase phase,
-                         Instant now);
+  bool RefuseWhileStalled(const AttemptId& attempt,
+                          protocol::Phase phase,
+                          Instant now);
   bool StartNow(const protocol::StartDecode& start, Instant now);
-  void LetWait(const protocol::StartDecode& start, Instant now);
+  void AddWaiting(const protocol::StartDecode& start, Instant now);
   void StartWaiting(Instant now);
   void Flush(const AttemptId& attempt, Stream& stream, Instant now);
   void Measure(Stream& stream, std::uint32_t tokens, Instant now);
@@ -84,7 +84,9 @@
   void ExpireWaiting(Instant now);
   void ExpireStalled(Instant now);
   // Started in an engine that stands still; `due` is when it was to be judged.
-  bool StartsInVain(const Stream& stream, Instant due, Instant now) const;
+  bool StartsInStalledEngine(const Stream& stream,
+                             Instant due,
+                             Instant now) const;
 
   SharedParts& parts;
   DecodeMemory memory;
@@ -94,9 +96,10 @@
   std::deque<protocol::StartDecode> waiting;  // at most `slots`
   DeadlineSet<AttemptId> wait_limits;
   DeadlineSet<AttemptId> stalls;
-  Instant look_at = kNever;  // the next Look, while the engine owes a token
-  Instant listening_from{};  // after the latest standstill of this process
-  bool stood_still = false;  // by the latest Look
+  // While the engine owes a token.
+  Instant next_stall_check = kNever;
+  Instant last_stall_ended_at{};  // after the latest standstill of this process
+  bool process_stalled = false;   // by the latest check
 };
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/drain_state.h
+++ b/src/agent/internal/drain_state.h
@@ -18,13 +18,13 @@
 
   // True when the drain begins with this call. The process's wish outlasts
   // the manifest's.
-  bool Begin(Cause wish, Instant now) {
+  bool Begin(Cause new_cause, Instant now) {
     const bool begins = !this->active();
     if (begins) {
       this->ends = After(now, this->grace);
-      this->cause = wish;
-    } else if (wish == Cause::kProcess) {
-      this->cause = wish;
+      this->cause = new_cause;
+    } else if (new_cause == Cause::kProcess) {
+      this->cause = new_cause;
     }
     return begins;
   }
@@ -33,26 +33,26 @@
   void RevokeByManifest() {
     if (this->cause == Cause::kManifest) {
       this->ends = kNever;
-      this->over = false;
+      this->grace_ended = false;
     }
   }
 
   // True once, when the grace has ended.
-  bool TakeGraceOver(Instant now) {
+  bool TakeGraceEnded(Instant now) {
     const bool ended = this->next_timer() <= now;
-    this->over = this->over || ended;
+    this->grace_ended = this->grace_ended || ended;
     return ended;
   }
 
   bool active() const { return this->ends != kNever; }
   Duration GraceLeft(Instant now) const { return Until(this->ends, now); }
-  Instant next_timer() const { return this->over ? kNever : this->ends; }
+  Instant next_timer() const { return this->grace_ended ? kNever : this->ends; }
 
  private:
   Duration grace;
   Cause cause = Cause::kProcess;
   Instant ends = kNever;
-  bool over = false;
+  bool grace_ended = false;
 };
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/engine_audit.cc
+++ b/src/agent/internal/engine_audit.cc
@@ -8,7 +8,7 @@
   if (now < this->next_listing) {
     return false;
   }
-  this->asked_at = now;
+  this->requested_at = now;
   this->next_listing = now + this->options.answer_timeout;
   return true;
 }
@@ -22,13 +22,13 @@
     const auto recent = this->released.find(attempt);
     const bool just_released =
         recent != this->released.end() &&
-        recent->second + this->options.interval > this->asked_at;
+        recent->second + this->options.interval > this->requested_at;
     if (!owns(attempt) && !just_released) {
       orphans.push_back(attempt);
     }
   }
   this->answered = true;
-  this->retry = this->options.first_retry;
+  this->retry = this->options.min_retry;
   this->next_listing = now + this->options.interval;
   return orphans;
 }
--- a/src/agent/internal/engine_audit.h
+++ b/src/agent/internal/engine_audit.h
@@ -22,13 +22,13 @@
   struct Options {
     Duration interval = 5s;        // between two listings
     Duration answer_timeout = 2s;  // an engine that does not answer
-    Duration first_retry = 100ms;  // doubled up to `interval`
+    Duration min_retry = 100ms;    // doubled up to `interval`
     std::size_t max_recent = 65536;
   };
   using OwnsHook = std::function<bool(const AttemptId&)>;
 
   explicit EngineAudit(Options audit_options)
-      : options(audit_options), retry(audit_options.first_retry) {}
+      : options(audit_options), retry(audit_options.min_retry) {}
 
   void Start(Instant now) { this->next_listing = now; }
 
@@ -56,7 +56,7 @@
   Options options;
   Duration retry;
   Instant next_listing = kNever;
-  Instant asked_at{};
+  Instant requested_at{};
   bool answered = false;
   std::unordered_map<AttemptId, Instant> released;
   std::deque<std::pair<Instant, AttemptId>> release_order;
--- a/src/agent/internal/engine_orders.cc
+++ b/src/agent/internal/engine_orders.cc
@@ -22,7 +22,7 @@
     return std::nullopt;
   }
   engine::Order order{
-      .fence = manifest.offset,
+      .fencing_token = manifest.offset,
       .model = service->models.front(),
       .version = service->model_version,
       .role = std::string(NameOf(protocol::kEndpointRoleNames, endpoint.role))};
@@ -32,29 +32,29 @@
   return order;
 }
 
-void EngineOrders::Want(engine::Order order, Instant now) {
-  if (this->wanted && order.fence < this->wanted->fence) {
+void EngineOrders::SetWanted(engine::Order order, Instant now) {
+  if (this->wanted && order.fencing_token < this->wanted->fencing_token) {
     return;
   }
   this->wanted = std::move(order);
   this->state_confirmed = false;
-  this->retry = this->options.first_retry;
+  this->retry = this->options.min_retry;
   this->ReadAt(now);
 }
 
-maintenance::MaintenanceIntent EngineOrders::turn_wish() const {
+maintenance::MaintenanceIntent EngineOrders::maintenance_intent() const {
   if (this->state_confirmed) {
     return maintenance::MaintenanceIntent::kNone;
   }
-  return this->needs_turn ? maintenance::MaintenanceIntent::kEnter
-                          : maintenance::MaintenanceIntent::kKeep;
+  return this->needs_maintenance ? maintenance::MaintenanceIntent::kEnter
+                                 : maintenance::MaintenanceIntent::kKeep;
 }
 
-void EngineOrders::SetTurn(bool is_given, Instant now) {
-  if (is_given && !this->turn_given) {
-    this->order_by = now + this->options.longest_wait;
+void EngineOrders::SetMaintenanceGranted(bool granted, Instant now) {
+  if (granted && !this->maintenance_granted) {
+    this->order_by = now + this->options.max_wait;
   }
-  this->turn_given = is_given;
+  this->maintenance_granted = granted;
 }
 
 std::optional<engine::EngineCommand> EngineOrders::TakeDue(bool idle,
@@ -62,9 +62,11 @@
   if (!this->wanted) {
     return std::nullopt;
   }
-  const bool waits_for_turn = this->needs_turn && !this->turn_given;
-  if (this->step == Step::kOrder && !(waits_for_turn && this->due <= now)) {
-    if (waits_for_turn) {
+  const bool waits_for_maintenance =
+      this->needs_maintenance && !this->maintenance_granted;
+  if (this->step == Step::kOrder &&
+      !(waits_for_maintenance && this->due <= now)) {
+    if (waits_for_maintenance) {
       return std::nullopt;
     }
     if (this->disturbs && !idle && now < this->order_by) {
@@ -73,7 +75,7 @@
     // What is wanted is looked up here, at the moment of sending: a newer
     // manifest may have come while the order waited.
     this->ReadAt(now + this->options.answer_timeout);
-    if (this->needs_turn) {
+    if (this->needs_maintenance) {
       this->engine_fits = false;
       this->ordered = true;
     }
@@ -95,38 +97,38 @@
     return;
   }
   const bool same_model = this->SameModel(state);
-  this->needs_turn = this->NeedsTurn(state);
+  this->needs_maintenance = this->NeedsMaintenance(state);
   this->ordered = this->ordered && state.loading;
-  this->engine_fits = (same_model || this->needs_turn) && !state.loading;
+  this->engine_fits = (same_model || this->needs_maintenance) && !state.loading;
   this->state_confirmed =
       same_model && !state.loading &&
       Sorted(state.adapters) == Sorted(this->wanted->adapters);
   if (this->state_confirmed) {
-    this->needs_turn = false;
-    this->retry = this->options.first_retry;
+    this->needs_maintenance = false;
+    this->retry = this->options.min_retry;
     this->ReadAt(now + this->options.check_interval);
     return;
   }
   if (state.loading) {
-    this->ReadAt(now + this->options.first_retry);
+    this->ReadAt(now + this->options.min_retry);
     return;
   }
   // A higher fence than ours: the engine follows a manifest that has not
   // reached this agent yet, and an order from here would turn it back.
-  if (state.fence > this->wanted->fence) {
-    this->needs_turn = false;
+  if (state.fencing_token > this->wanted->fencing_token) {
+    this->needs_maintenance = false;
     this->RetryReading(now);
     return;
   }
   this->step = Step::kOrder;
   this->disturbs = !same_model;
-  this->order_by = now + this->options.longest_wait;
+  this->order_by = now + this->options.max_wait;
   // A turn may be long in coming; the engine may be another one by then.
   this->due = now + this->options.check_interval;
 }
 
 void EngineOrders::OnOrderDone(const engine::OrderDone& done, Instant now) {
-  if (!this->wanted || done.fence != this->wanted->fence) {
+  if (!this->wanted || done.fencing_token != this->wanted->fencing_token) {
     return;
   }
   if (done.code == ResultCode::kOk) {
@@ -140,7 +142,8 @@
   if (!this->wanted) {
     return kNever;
   }
-  if (this->step == Step::kRead || (this->needs_turn && !this->turn_given)) {
+  if (this->step == Step::kRead ||
+      (this->needs_maintenance && !this->maintenance_granted)) {
     return this->due;
   }
   return this->order_by;
@@ -149,8 +152,8 @@
 // An engine of another model or role serves nothing that this endpoint is
 // asked for, and so does one that loads: what it does takes nothing away from
 // the pool. One of an older version, or without an adapter, does serve.
-bool EngineOrders::NeedsTurn(const engine::EngineState& state) const {
-  return this->options.take_turns && !state.loading &&
+bool EngineOrders::NeedsMaintenance(const engine::EngineState& state) const {
+  return this->options.use_maintenance_queue && !state.loading &&
          state.model == this->wanted->model && state.role == this->wanted->role;
 }
 
@@ -165,7 +168,7 @@
   // from one weight store of limited rate.
   const double spread = 0.5 + this->random.Unit();
   this->ReadAt(now + FromSeconds(Seconds(this->retry) * spread));
-  this->retry = std::min(2 * this->retry, this->options.last_retry);
+  this->retry = std::min(2 * this->retry, this->options.max_retry);
 }
 
 void EngineOrders::ReadAt(Instant when) {
--- a/src/agent/internal/engine_orders.h
+++ b/src/agent/internal/engine_orders.h
@@ -23,13 +23,14 @@
   struct Options {
     Duration check_interval = 10s;  // between two readings when all is well
     Duration answer_timeout = 5s;
-    Duration first_retry = 500ms;  // doubled up to `last_retry`
-    Duration last_retry = 10s;
+    Duration min_retry = 500ms;  // doubled up to `max_retry`
+    Duration max_retry = 10s;
     // For what runs, before a disturbing order: as long as a call may take, so
     // that no answer is cut off by it.
-    Duration longest_wait = 10min;
-    // An order that takes a serving endpoint out waits for SetTurn.
-    bool take_turns = false;
+    Duration max_wait = 10min;
+    // An order that takes a serving endpoint out waits for
+    // SetMaintenanceGranted.
+    bool use_maintenance_queue = false;
   };
 
   // The state that a manifest asks of an endpoint's engine; empty when it
@@ -41,14 +42,15 @@
   EngineOrders(Options order_options, RandomSource& random_source)
       : options(order_options), random(random_source) {}
 
-  // Replaces what was wanted before. `fence` never goes back.
-  void Want(engine::Order order, Instant now);
+  // Replaces what was wanted before. `fencing_token` never goes back.
+  void SetWanted(engine::Order order, Instant now);
 
   // What to say of the endpoint in its pool's order of turns.
-  maintenance::MaintenanceIntent turn_wish() const;
-  // Whether the endpoint may be taken out for an order now; with `take_turns`
-  // an endpoint that serves an older version goes on serving it until then.
-  void SetTurn(bool is_given, Instant now);
+  maintenance::MaintenanceIntent maintenance_intent() const;
+  // Whether the endpoint may be taken out for an order now; with
+  // `use_maintenance_queue` an endpoint that serves an older version goes on
+  // serving it until then.
+  void SetMaintenanceGranted(bool granted, Instant now);
 
   // The command that is due. `idle`: the engine runs nothing, so that another
   // model or role cuts no request off. Call after every input.
@@ -60,9 +62,9 @@
   // False while the engine is known to load or to have another model,
   // version or role: its answers would be wrong ones. An engine whose state
   // was never read counts as fit.
-  bool fit() const { return this->engine_fits && !this->GoesOut(); }
+  bool fit() const { return this->engine_fits && !this->LeavesService(); }
   // An order has taken the endpoint out of service, or is about to.
-  bool out() const { return this->ordered || this->GoesOut(); }
+  bool out() const { return this->ordered || this->LeavesService(); }
   // The wanted state was read from the engine.
   bool confirmed() const { return this->state_confirmed; }
   Instant next_timer() const;
@@ -71,9 +73,10 @@
   enum class Step : std::uint8_t { kRead, kOrder };
 
   // It serves what it has, while it waits to be brought up to date.
-  bool NeedsTurn(const engine::EngineState& state) const;
-  bool GoesOut() const {
-    return this->turn_given && this->needs_turn && this->disturbs;
+  bool NeedsMaintenance(const engine::EngineState& state) const;
+  bool LeavesService() const {
+    return this->maintenance_granted && this->needs_maintenance &&
+           this->disturbs;
   }
   bool SameModel(const engine::EngineState& state) const;
   void RetryReading(Instant now);
@@ -86,8 +89,8 @@
   Instant due = kNever;
   Instant order_by = kNever;  // a disturbing order waits at most until then
   bool disturbs = false;
-  bool needs_turn = false;
-  bool turn_given = false;
+  bool needs_maintenance = false;
+  bool maintenance_granted = false;
   bool ordered = false;  // under a turn; the engine's state not yet read since
   bool engine_fits = true;
   bool state_confirmed = false;
--- a/src/agent/internal/entry_processes.cc
+++ b/src/agent/internal/entry_processes.cc
@@ -28,18 +28,18 @@
   return true;
 }
 
-void EntryProcesses::TellLoad(const protocol::Heartbeat& heartbeat,
-                              const protocol::EndpointLoad& load,
-                              protocol::HeartbeatAnswer& answer) {
+void EntryProcesses::ReportLoad(const protocol::Heartbeat& heartbeat,
+                                const protocol::EndpointLoad& load,
+                                protocol::HeartbeatAnswer& answer) {
   Process& process =
       this->processes.at({heartbeat.entry, heartbeat.incarnation});
   const bool known =
-      process.told_at != 0 && process.told_at == heartbeat.load_seen;
-  if (known && !heartbeat::ChangedMaterially(process.told, load)) {
+      process.reported_at != 0 && process.reported_at == heartbeat.load_seen;
+  if (known && !heartbeat::ChangedMaterially(process.reported, load)) {
     return;
   }
-  process.told_at = heartbeat.sequence;
-  process.told = load;
+  process.reported_at = heartbeat.sequence;
+  process.reported = load;
   answer.has_load = true;
   answer.load = load;
 }
--- a/src/agent/internal/entry_processes.h
+++ b/src/agent/internal/entry_processes.h
@@ -27,18 +27,18 @@
 
   // Puts the load into the answer, unless the process is known to have been
   // told much the same. Precondition: Take accepted the heartbeat.
-  void TellLoad(const protocol::Heartbeat& heartbeat,
-                const protocol::EndpointLoad& load,
-                protocol::HeartbeatAnswer& answer);
+  void ReportLoad(const protocol::Heartbeat& heartbeat,
+                  const protocol::EndpointLoad& load,
+                  protocol::HeartbeatAnswer& answer);
 
   std::size_t count() const { return this->processes.size(); }
 
  private:
   struct Process {
     std::size_t sessions = 0;
-    std::uint32_t newest = 0;   // sequence of the newest heartbeat
-    std::uint32_t told_at = 0;  // of the answer with `told`; 0: none
-    protocol::EndpointLoad told;
+    std::uint32_t newest = 0;       // sequence of the newest heartbeat
+    std::uint32_t reported_at = 0;  // of the answer with `reported`; 0: none
+    protocol::EndpointLoad reported;
   };
 
   std::map<Key, Process> processes;
--- a/src/agent/internal/turn_taker.h
+++ b/src/agent/internal/maintenance_permission.h
@@ -1,5 +1,5 @@
-#ifndef AGENT_INTERNAL_TURN_TAKER_H_
-#define AGENT_INTERNAL_TURN_TAKER_H_
+#ifndef AGENT_INTERNAL_MAINTENANCE_PERMISSION_H_
+#define AGENT_INTERNAL_MAINTENANCE_PERMISSION_H_
 
 #include <cstddef>
 #include <string>
@@ -15,10 +15,11 @@
 // the pool has come, and the rest of the pool can carry the load. The pool's
 // load is taken from this endpoint's own, as entries spread it. Not thread
 // safe.
-class TurnTaker {
+class MaintenancePermission {
  public:
   // All references outlive this.
-  TurnTaker(const AgentOptions& agent_options, RandomSource& random);
+  MaintenancePermission(const AgentOptions& agent_options,
+                        RandomSource& random);
 
   // The pool of the endpoint in a manifest that came in force.
   void SetPool(const manifest::Manifest& manifest,
@@ -26,36 +27,38 @@
                Instant now);
   // While a turn is wanted: the endpoint's load from now on. Not watched
   // otherwise, since each message of a request would pay for it.
-  void Note(const protocol::EndpointLoad& load, Instant now) {
-    this->utilisation.Note(load, now);
+  void NoteLoad(const protocol::EndpointLoad& load, Instant now) {
+    this->utilisation.NoteLoad(load, now);
   }
-  void StopNoting() {
+  void StopObserving() {
     this->utilisation = Utilisation(this->options.utilisation_memory);
   }
 
   // `idle`: the engine runs nothing; `out`: the endpoint is out already, and
   // its load tells nothing any more.
-  bool MayGo(bool idle, bool out, Instant now) const;
+  bool MayLeaveService(bool idle, bool out, Instant now) const;
 
-  maintenance::MaintenanceQueueClient& keeper() { return this->turn_keeper; }
-  const maintenance::MaintenanceQueueClient& keeper() const {
-    return this->turn_keeper;
+  maintenance::MaintenanceQueueClient& queue_client() { return this->client; }
+  const maintenance::MaintenanceQueueClient& queue_client() const {
+    return this->client;
   }
 
  private:
-  bool RestCarries(std::size_t before, bool idle, Instant now) const;
+  bool RestCanCarryLoad(std::size_t members_ahead,
+                        bool idle,
+                        Instant now) const;
 
   const AgentOptions& options;
   Utilisation utilisation;
-  maintenance::MaintenanceQueueClient turn_keeper;
+  maintenance::MaintenanceQueueClient client;
   std::size_t members = 0;
 };
 
 // The stream in which a pool's endpoints take their turns. Names that differ
 // only in characters that a URL does not take share one; that costs reading.
 // Thread safe.
-std::string TurnStream(const manifest::Endpoint& endpoint);
+std::string MaintenanceStream(const manifest::Endpoint& endpoint);
 
 }  // namespace acacialug::agent
 
-#endif  // AGENT_INTERNAL_TURN_TAKER_H_
+#endif  // AGENT_INTERNAL_MAINTENANCE_PERMISSION_H_
--- a/src/agent/internal/outbox.h
+++ b/src/agent/internal/outbox.h
@@ -32,7 +32,7 @@
     this->actions.push_back(ExecuteOnEngine{std::move(command)});
   }
 
-  void Ask(maintenance::MaintenanceAction action) {
+  void Submit(maintenance::MaintenanceAction action) {
     std::visit(
         [this](auto& typed) { this->actions.emplace_back(std::move(typed)); },
         action);
--- a/src/agent/internal/prefill_work.cc
+++ b/src/agent/internal/prefill_work.cc
@@ -168,7 +168,7 @@
              this->export_ends.PopDue(now)) {
     ++this->parts.counters.exports_lapsed;
     this->Release(*attempt, now);
-    this->parts.attempts.CloseOver(*attempt, now);
+    this->parts.attempts.CloseEnded(*attempt, now);
   }
 }
 
@@ -179,7 +179,8 @@
   while (this->stalls.next() <= now) {
     const bool late = now - this->stalls.next() >= kOwnPause;
     const AttemptId attempt = *this->stalls.PopDue(now);
-    if (late && !std::exchange(this->running.at(attempt).looked_again, true)) {
+    if (late &&
+        !std::exchange(this->running.at(attempt).stall_deferred, true)) {
       this->stalls.Set(attempt, now + kListeningTime);
       continue;
     }
@@ -201,7 +202,7 @@
                        Outcome::kUnknown, now);
     }
     this->Release(attempt, now);
-    this->parts.attempts.CloseOver(attempt, now);
+    this->parts.attempts.CloseEnded(attempt, now);
   }
 }
 
--- a/src/agent/internal/prefill_work.h
+++ b/src/agent/internal/prefill_work.h
@@ -45,7 +45,7 @@
     protocol::PrefixChain prefix;
     std::uint64_t prompt_tokens = 0;
     Instant predicted;
-    bool looked_again = false;  // its stall was noticed late, and put off
+    bool stall_deferred = false;  // its stall was noticed late, and put off
   };
 
   void Dispatch(Instant now);
--- a/src/agent/internal/prefix_memory.h
+++ b/src/agent/internal/prefix_memory.h
@@ -16,7 +16,7 @@
 // Not thread safe.
 class PrefixMemory {
  public:
-  explicit PrefixMemory(std::size_t most_pieces) : limit(most_pieces) {}
+  explicit PrefixMemory(std::size_t max_blocks) : limit(max_blocks) {}
 
   // Of `prompt_tokens`, how many are probably cached.
   double CachedTokens(const protocol::PrefixChain& prefix,
--- a/src/agent/internal/shared_parts.cc
+++ b/src/agent/internal/shared_parts.cc
@@ -27,7 +27,7 @@
       protocol::Failed{
           .attempt = attempt, .phase = phase, .code = code, .outcome = outcome},
       now);
-  this->attempts.CloseOver(attempt, now);
+  this->attempts.CloseEnded(attempt, now);
 }
 
 void SharedParts::Abort(const AttemptId& attempt, Instant now) {
--- a/src/agent/internal/token_pace.cc
+++ b/src/agent/internal/token_pace.cc
@@ -23,11 +23,12 @@
   this->interval_seconds += kIntervalWeight * (sample - this->interval_seconds);
 }
 
-void TokenPace::OnFinished(std::uint32_t produced, std::uint32_t asked) {
-  if (asked == 0) {
+void TokenPace::OnFinished(std::uint32_t produced, std::uint32_t requested) {
+  if (requested == 0) {
     return;
   }
-  const double sample = std::min(1.0, static_cast<double>(produced) / asked);
+  const double sample =
+      std::min(1.0, static_cast<double>(produced) / requested);
   this->used_share += kShareWeight * (sample - this->used_share);
 }
 
@@ -36,8 +37,8 @@
 }
 
 Duration TokenPace::Remaining(std::uint32_t produced,
-                              std::uint32_t asked) const {
-  const double expected = this->used_share * asked;
+                              std::uint32_t requested) const {
+  const double expected = this->used_share * requested;
   return BoundedSeconds(std::max(1.0, expected - produced) *
                         this->interval_seconds);
 }
--- a/src/agent/internal/token_pace.h
+++ b/src/agent/internal/token_pace.h
@@ -17,12 +17,12 @@
   void OnTokens(Duration elapsed, std::uint32_t tokens);
 
   // A stream ended after `produced` of the `asked` tokens.
-  void OnFinished(std::uint32_t produced, std::uint32_t asked);
+  void OnFinished(std::uint32_t produced, std::uint32_t requested);
 
   Duration interval() const;
 
   // The time that a stream is expected to take from here on.
-  Duration Remaining(std::uint32_t produced, std::uint32_t asked) const;
+  Duration Remaining(std::uint32_t produced, std::uint32_t requested) const;
 
  private:
   double interval_seconds;
--- a/src/agent/internal/utilisation.cc
+++ b/src/agent/internal/utilisation.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void Utilisation::Note(const protocol::EndpointLoad& load, Instant now) {
+void Utilisation::NoteLoad(const protocol::EndpointLoad& load, Instant now) {
   this->mean = this->MeanAt(now);
   this->noted_at = now;
   const double places = Share(static_cast<double>(load.running) + load.queued,
--- a/src/agent/internal/utilisation.h
+++ b/src/agent/internal/utilisation.h
@@ -17,7 +17,7 @@
   explicit Utilisation(Duration memory_length) : memory(memory_length) {}
 
   // The load from now on, until the next call.
-  void Note(const protocol::EndpointLoad& load, Instant now);
+  void NoteLoad(const protocol::EndpointLoad& load, Instant now);
 
   // Empty before it was watched for the memory's length: an agent that just
   // started must not take its endpoint for idle.
--- a/src/agent/tests/agent_bench.cc
+++ b/src/agent/tests/agent_bench.cc
@@ -80,7 +80,7 @@
     : core(Complete(std::move(options)), this->random) {
   this->core.Start(this->now);
   if (ready) {
-    this->Tell(engine::Held{});
+    this->Deliver(engine::Held{});
     this->Connect(kSession, kEntry);
   }
   this->Trace();
@@ -88,31 +88,31 @@
 
 void AgentBench::Connect(SessionId session, Incarnation entry, const char* id) {
   this->core.OnSessionOpened(session, this->now);
-  this->Say(protocol::Hello{.entry = EntryId(id), .incarnation = entry},
-            session);
+  this->Send(protocol::Hello{.entry = EntryId(id), .incarnation = entry},
+             session);
 }
 
-void AgentBench::Say(const protocol::EntryToAgent& message, SessionId by) {
+void AgentBench::Send(const protocol::EntryToAgent& message, SessionId by) {
   this->core.OnMessage(by, message, this->now);
 }
 
-void AgentBench::Tell(const engine::EngineEvent& event) {
+void AgentBench::Deliver(const engine::EngineEvent& event) {
   this->core.OnEngineEvent(event, this->now);
 }
 
-void AgentBench::Pass(Duration duration, bool renew) {
+void AgentBench::AdvanceBy(Duration duration, bool renew) {
   const Instant end = this->now + duration;
   while (this->now < end) {
     const Instant timer = std::max(this->now + 1us, this->core.next_timer());
     this->now = std::min({end, this->now + 500ms, timer});
     this->core.OnTimer(this->now);
     if (renew) {
-      this->Say(protocol::Renew{.incarnation = kEntry});
+      this->Send(protocol::Renew{.incarnation = kEntry});
     }
     const std::size_t before = this->listings;
     this->Collect();
     if (this->listings > before) {
-      this->Tell(engine::Held{.attempts = this->in_engine});
+      this->Deliver(engine::Held{.attempts = this->in_engine});
     }
   }
 }
@@ -146,16 +146,16 @@
   }
 }
 
-Steps Says(const protocol::EntryToAgent& message, SessionId by) {
-  return Step([=](AgentBench& bench) { bench.Say(message, by); });
+Steps Sends(const protocol::EntryToAgent& message, SessionId by) {
+  return Step([=](AgentBench& bench) { bench.Send(message, by); });
 }
-Steps Tells(const engine::EngineEvent& event) {
-  return Step([=](AgentBench& bench) { bench.Tell(event); });
+Steps EngineReports(const engine::EngineEvent& event) {
+  return Step([=](AgentBench& bench) { bench.Deliver(event); });
 }
-Steps Passes(Duration duration, bool renew) {
-  return Step([=](AgentBench& bench) { bench.Pass(duration, renew); });
+Steps Advances(Duration duration, bool renew) {
+  return Step([=](AgentBench& bench) { bench.AdvanceBy(duration, renew); });
 }
-Steps Freezes(Duration duration) {
+Steps Stalls(Duration duration) {
   return Step([=](AgentBench& bench) { bench.now += duration; });
 }
 Steps Connects(SessionId session, Incarnation entry, const char* id) {
@@ -179,13 +179,13 @@
       [=](AgentBench& bench) { bench.core.OnManifest(manifest, bench.now); });
 }
 Steps Reserves(Attempt attempt, std::uint64_t bytes) {
-  return Says(protocol::Reserve{.attempt = attempt,
-                                .kv_tokens = 100,
-                                .transfer_bytes = bytes,
-                                .start_within = 1s});
+  return Sends(protocol::Reserve{.attempt = attempt,
+                                 .kv_tokens = 100,
+                                 .transfer_bytes = bytes,
+                                 .start_within = 1s});
 }
 Steps Streams(Attempt attempt, std::uint32_t window) {
-  return Says(protocol::StartDecode{
+  return Sends(protocol::StartDecode{
       .attempt = attempt,
       .generation = {.model = ModelName("m"), .max_tokens = 10},
       .kv = {.transfer_params = "{}", .tokens = 90, .bytes = 900},
@@ -193,56 +193,58 @@
       .window_chunks = window});
 }
 Steps Prefills(Attempt attempt, Duration within, std::uint64_t tokens) {
-  return Says(protocol::StartPrefill{
+  return Sends(protocol::StartPrefill{
       .attempt = attempt, .prompt_tokens = tokens, .finish_within = within});
 }
 Steps Calls(Attempt attempt, protocol::Once once) {
-  return Says(protocol::StartCall{.attempt = attempt,
-                                  .once = once,
-                                  .start_within = 5s,
-                                  .finish_within = 9s});
+  return Sends(protocol::StartCall{.attempt = attempt,
+                                   .once = once,
+                                   .start_within = 5s,
+                                   .finish_within = 9s});
 }
 Steps LooksUp(Attempt attempt, protocol::Once once) {
-  return Says(protocol::LookUp{.attempt = attempt, .once = once});
+  return Sends(protocol::LookUp{.attempt = attempt, .once = once});
 }
 Steps Cancels(Attempt attempt) {
-  return Says(protocol::Cancel{attempt});
+  return Sends(protocol::Cancel{attempt});
 }
 Steps Texts(Attempt attempt, int times) {
   return Step([=](AgentBench& bench) {
     for (int i = 0; i < times; ++i) {
-      bench.Tell(engine::Text{attempt, "x", 1});
+      bench.Deliver(engine::Text{attempt, "x", 1});
     }
   });
 }
 Steps Acknowledges(Attempt attempt, std::uint64_t through) {
-  return Says(protocol::Acknowledge{attempt, SequenceNumber(through)});
+  return Sends(protocol::Acknowledge{attempt, SequenceNumber(through)});
 }
 Steps StreamEnds(Attempt attempt) {
-  return Tells(engine::StreamDone{attempt});
+  return EngineReports(engine::StreamDone{attempt});
 }
 Steps PrefillEnds(Attempt attempt) {
-  return Tells(engine::PrefillDone{.attempt = attempt});
+  return EngineReports(engine::PrefillDone{.attempt = attempt});
 }
 Steps CallEnds(Attempt attempt) {
-  return Tells(engine::CallDone{.attempt = attempt, .answer = {.body = "yes"}});
+  return EngineReports(
+      engine::CallDone{.attempt = attempt, .answer = {.body = "yes"}});
 }
 Steps Fails(Attempt attempt, Outcome outcome) {
-  return Tells(
+  return EngineReports(
       engine::AttemptFailed{attempt, ResultCode::kEngineFailed, outcome});
 }
 
-void Play(const Tale& tale) {
-  AgentBench bench(tale.options);
-  tale.steps.Play(bench);
-  CPPUNIT_ASSERT_EQUAL(tale.trace, bench.Trace());
-  CPPUNIT_ASSERT_EQUAL(tale.held, bench.core.held_attempts().size());
+void Play(const TraceCase& trace_case) {
+  AgentBench bench(trace_case.options);
+  trace_case.steps.Play(bench);
+  CPPUNIT_ASSERT_EQUAL(trace_case.trace, bench.Trace());
+  CPPUNIT_ASSERT_EQUAL(trace_case.held, bench.core.held_attempts().size());
   bench.core.OnTimer(bench.now);
   CHECK(bench.core.next_timer() > bench.now);
 }
 
-testing::Section Tales(std::string name, std::vector<Tale> tales) {
-  return Cases<Tale>(std::move(name), std::move(tales), Play);
+testing::Section TraceCases(std::string name,
+                            std::vector<TraceCase> trace_cases) {
+  return Cases<TraceCase>(std::move(name), std::move(trace_cases), Play);
 }
 
 }  // namespace acacialug::agent
--- a/src/agent/tests/agent_bench.h
+++ b/src/agent/tests/agent_bench.h
@@ -44,10 +44,10 @@
   explicit AgentBench(AgentOptions options, bool ready = true);
 
   void Connect(SessionId session, Incarnation entry, const char* id = "e1");
-  void Say(const protocol::EntryToAgent& message, SessionId by = kSession);
-  void Tell(const engine::EngineEvent& event);
+  void Send(const protocol::EntryToAgent& message, SessionId by = kSession);
+  void Deliver(const engine::EngineEvent& event);
   // Lets time pass, with every timer at its instant; renews if asked to.
-  void Pass(Duration duration, bool renew = true);
+  void AdvanceBy(Duration duration, bool renew = true);
 
   // What the core did since the last call, in order, as short text: the
   // attempt's numbers, and what tells one such action from another. Without
@@ -82,10 +82,10 @@
   std::vector<Step> list;
 };
 
-Steps Says(const protocol::EntryToAgent& message, SessionId by = kSession);
-Steps Tells(const engine::EngineEvent& event);
-Steps Passes(Duration duration, bool renew = true);
-Steps Freezes(Duration duration);  // no timer runs meanwhile
+Steps Sends(const protocol::EntryToAgent& message, SessionId by = kSession);
+Steps EngineReports(const engine::EngineEvent& event);
+Steps Advances(Duration duration, bool renew = true);
+Steps Stalls(Duration duration);  // no timer runs meanwhile
 Steps Connects(SessionId session, Incarnation entry, const char* id = "e1");
 Steps Opens(SessionId session);  // without a Hello
 Steps Drops(SessionId session = kSession);
@@ -109,7 +109,7 @@
 
 // What happens to one agent, the whole trace of it, and how many attempts
 // hold something in the end.
-struct Tale {
+struct TraceCase {
   std::string name;
   AgentOptions options;
   Steps steps;
@@ -117,8 +117,9 @@
   std::size_t held = 0;
 };
 
-void Play(const Tale& tale);
-testing::Section Tales(std::string name, std::vector<Tale> tales);
+void Play(const TraceCase& trace_case);
+testing::Section TraceCases(std::string name,
+                            std::vector<TraceCase> trace_cases);
 
 // A leaf for each row of a table whose rows have a `name`.
 template <typename Row>
--- a/src/agent/tests/agent_core_test.cc
+++ b/src/agent/tests/agent_core_test.cc
@@ -48,13 +48,13 @@
     {"a newer attempt comes and is cancelled", Cancels({1, 2})},
     {"its entry is replaced", Connects(kOther, kSuccessor),
      "close superseded, ", "welcome, "},
-    {"its session is not renewed", Freezes(3s) + Passes(1us, false),
+    {"its session is not renewed", Stalls(3s) + Advances(1us, false),
      "close heartbeat_lost, "},
     {"the agent wakes from a pause, and the renewal comes only then",
-     Freezes(4s) + Says(protocol::Renew{.incarnation = kEntry}),
+     Stalls(4s) + Sends(protocol::Renew{.incarnation = kEntry}),
      "close heartbeat_lost, "},
     {"its connection breaks the protocol",
-     Says(protocol::Renew{.incarnation = kSuccessor}), "close bad_frame, "},
+     Sends(protocol::Renew{.incarnation = kSuccessor}), "close bad_frame, "},
 };
 
 Section FreedWhen(const Holding& holding) {
@@ -132,8 +132,8 @@
      StartedBetween(
          "is not touched by another entry's cancel:",
          Connects(kOther, kSuccessor, "e2"),
-         Says(protocol::Cancel{Attempt(1)}, kOther) +
-             Says(protocol::Cancel{Attempt(1, 1, kSuccessor)}, kOther),
+         Sends(protocol::Cancel{Attempt(1)}, kOther) +
+             Sends(protocol::Cancel{Attempt(1, 1, kSuccessor)}, kOther),
          [](const Holding& row) { return "welcome, " + row.started; },
          1),
      Cases<Holding>("after its cancel is dropped:",
@@ -159,7 +159,7 @@
     {Cases<RuleCase>("an agent lets",
                      {{"a lapsed session keep its stream",
                        {.expire_leases = false},
-                       Reserves(1) + Streams(1) + Passes(4s, false)},
+                       Reserves(1) + Streams(1) + Advances(4s, false)},
                       {"a closed session keep its stream",
                        {.clean_sessions = false},
                        Reserves(1) + Streams(1) + Drops()},
@@ -189,7 +189,7 @@
 
 const testing::Story kDecode(
     "a decode endpoint",
-    {Tales(
+    {TraceCases(
         "",
         {{"streams an answer under a reservation and frees its memory",
           Decoder(), Reserves(1) + Streams(1) + Texts(1, 2) + StreamEnds(1),
@@ -204,7 +204,7 @@
           Decoder(ReservationPolicy::kNone, 1), Streams(1) + Streams(2),
           "decode 1, refused 2 no_decode_memory", 1},
          {"lets an unused reservation lapse", Decoder(),
-          Reserves(1) + Passes(30s) + Streams(1),
+          Reserves(1) + Advances(30s) + Streams(1),
           "reserved 1, refused 1 no_decode_memory"},
          {"gives the room back when no transfer window is free",
           Decoder(ReservationPolicy::kHold, 2, 1000),
@@ -214,18 +214,18 @@
          // done. Sequence: an earlier one outlasts its prediction by little.
          {"starts a promised stream once the late one ends",
           Decoder(kPromise, 1),
-          Reserves(1) + Streams(1) + Reserves(2) + Passes(400ms) + Streams(2) +
-              StreamEnds(1),
+          Reserves(1) + Streams(1) + Reserves(2) + Advances(400ms) +
+              Streams(2) + StreamEnds(1),
           "reserved 1, decode 1, reserved 2 in 300, ended 1:0, decode 2", 1},
          {"or refuses it while its export still lives elsewhere",
           Decoder(kPromise, 1),
-          Reserves(1) + Streams(1) + Reserves(2) + Passes(400ms) + Streams(2) +
-              Passes(800ms),
+          Reserves(1) + Streams(1) + Reserves(2) + Advances(400ms) +
+              Streams(2) + Advances(800ms),
           "reserved 1, decode 1, reserved 2 in 300, refused 2 no_decode_memory",
           1},
          {"pauses the engine for a slow reader, not taking it for a stall",
           Decoder(),
-          Reserves(1) + Streams(1, 2) + Texts(1, 4) + Passes(60s) +
+          Reserves(1) + Streams(1, 2) + Texts(1, 4) + Advances(60s) +
               Acknowledges(1, 1) + Acknowledges(1, 3),
           "reserved 1, decode 1, chunk 1:0, chunk 1:1, pause 1, chunk 1:2, "
           "chunk 1:3, pause 1 off",
@@ -237,7 +237,7 @@
           "reserved 1, decode 1, chunk 1:0, chunk 1:1, pause 1, chunk 1:2, "
           "ended 1:3"},
          {"gives up a stream that the engine lets stall", Decoder(),
-          Reserves(1) + Streams(1) + Passes(3s) + Texts(1) + Passes(5s),
+          Reserves(1) + Streams(1) + Advances(3s) + Texts(1) + Advances(5s),
           "reserved 1, decode 1, chunk 1:0, failed 1 engine_failed unknown, "
           "abort 1"},
          // Symptom: requests sent to an engine that stands still miss their
@@ -245,77 +245,77 @@
          // middle of its streams, and its free places look like any other's.
          // Cause: nothing told of it before a stream's own timeout.
          {"gives an engine no more work while it makes no token", Decoder(),
-          Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Freezes(299ms) +
-              Reserves(3) + Freezes(1ms) + Reserves(4) + Streams(2),
+          Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Stalls(299ms) +
+              Reserves(3) + Stalls(1ms) + Reserves(4) + Streams(2),
           "reserved 1, reserved 2, decode 1, chunk 1:0, reserved 3, "
           "refused 4 no_decode_memory, refused 2 no_decode_memory",
           2},
          {"and goes on with the next token", Decoder(),
-          Reserves(1) + Streams(1) + Texts(1) + Passes(1s) + Reserves(2) +
+          Reserves(1) + Streams(1) + Texts(1) + Advances(1s) + Reserves(2) +
               Texts(1) + Reserves(3),
           "reserved 1, decode 1, chunk 1:0, refused 2 no_decode_memory, "
           "chunk 1:1, reserved 3",
           2},
          {"but waits longer for a first token, which may wait for its import",
           Decoder(),
-          Reserves(1) + Streams(1) + Passes(1099ms) + Reserves(2) +
-              Passes(1ms) + Reserves(3),
+          Reserves(1) + Streams(1) + Advances(1099ms) + Reserves(2) +
+              Advances(1ms) + Reserves(3),
           "reserved 1, decode 1, reserved 2, refused 3 no_decode_memory", 2},
          // Agents that had stood still for a second refused every reservation
          // that came meanwhile, though their engines had made tokens all the
          // time: sessions were read before the engine's stream, and the time
          // in which the agent did not listen counted as the engine's silence.
          {"nor for silence that is the agent's own standstill", Decoder(),
-          Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Freezes(1s) +
+          Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Stalls(1s) +
               Reserves(3) + Streams(2) + Texts(1),
           "reserved 1, reserved 2, decode 1, chunk 1:0, reserved 3, decode 2, "
           "chunk 1:1",
           3},
          {"nor for a first token that did not come during it", Decoder(),
-          Reserves(1) + Streams(1) + Freezes(1200ms) + Reserves(2),
+          Reserves(1) + Streams(1) + Stalls(1200ms) + Reserves(2),
           "reserved 1, decode 1, reserved 2", 2},
          {"but refuses work when the engine is silent after it, too", Decoder(),
-          Reserves(1) + Streams(1) + Texts(1) + Freezes(1s) + Reserves(2) +
-              Passes(300ms) + Reserves(3),
+          Reserves(1) + Streams(1) + Texts(1) + Stalls(1s) + Reserves(2) +
+              Advances(300ms) + Reserves(3),
           "reserved 1, decode 1, chunk 1:0, reserved 2, "
           "refused 3 no_decode_memory",
           2},
          // Without this an agent on a busy processor would never find its
          // engine silent.
          {"also when the agent stands still again and again", Decoder(),
-          Reserves(1) + Streams(1) + Texts(1) + Freezes(500ms) + Reserves(2) +
-              Freezes(500ms) + Reserves(3),
+          Reserves(1) + Streams(1) + Texts(1) + Stalls(500ms) + Reserves(2) +
+              Stalls(500ms) + Reserves(3),
           "reserved 1, decode 1, chunk 1:0, reserved 2, "
           "refused 3 no_decode_memory",
           2},
          {"nor while its only reader is slow", Decoder(),
-          Reserves(1) + Streams(1, 1) + Texts(1, 2) + Freezes(2s) + Reserves(2),
+          Reserves(1) + Streams(1, 1) + Texts(1, 2) + Stalls(2s) + Reserves(2),
           "reserved 1, decode 1, chunk 1:0, pause 1, reserved 2", 2},
          // Symptom: a request whose export is alive misses its first token.
          // Sequence: its stream is started, and the engine stands still.
          {"gives up a start whose export still lives when the engine is silent",
           Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Streams(2) +
-              Passes(299ms) + Passes(1ms),
+              Advances(299ms) + Advances(1ms),
           "reserved 1, reserved 2, decode 1, chunk 1:0, decode 2, "
           "failed 2 engine_failed unknown, abort 2",
           1},
          {"but not while other streams get their tokens", Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Streams(2) +
-              Passes(200ms) + Texts(1) + Passes(299ms) + Texts(1) +
-              Passes(299ms) + Texts(2),
+              Advances(200ms) + Texts(1) + Advances(299ms) + Texts(1) +
+              Advances(299ms) + Texts(2),
           "reserved 1, reserved 2, decode 1, chunk 1:0, decode 2, chunk 1:1, "
           "chunk 1:2, chunk 2:0",
           2},
          {"nor after a pause of its own", Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Streams(2) +
-              Freezes(400ms) + Passes(1ms) + Texts(1) + Texts(2),
+              Stalls(400ms) + Advances(1ms) + Texts(1) + Texts(2),
           "reserved 1, reserved 2, decode 1, chunk 1:0, decode 2, chunk 1:1, "
           "chunk 2:0",
           2},
          {"does not blame the engine for its own pause",
           With([](AgentOptions& o) { o.session_lease = 1h; }),
-          Reserves(1) + Streams(1) + Freezes(9s) + Texts(1),
+          Reserves(1) + Streams(1) + Stalls(9s) + Texts(1),
           "reserved 1, decode 1, chunk 1:0", 1},
          {"passes on what the engine says of a failure", Decoder(),
           Reserves(1) + Streams(1) + Fails(1, Outcome::kNotRun),
@@ -328,19 +328,19 @@
           "reserved 1, leaving, decode 1, welcome, leaving", 1},
          {"cuts what still runs when its grace is over, as unknown",
           With([](AgentOptions& o) { o.drain_grace = 4s; }),
-          Reserves(1) + Streams(1) + Reserves(2) + Drains() + Passes(4s),
+          Reserves(1) + Streams(1) + Reserves(2) + Drains() + Advances(4s),
           "reserved 1, decode 1, reserved 2, leaving, failed 1 endpoint_lost "
           "unknown, abort 1, refused 2 draining"}})});
 
 const testing::Story kConversation(
     "a conversation with an agent",
-    {Tales("",
-           {{"begins with a Hello or ends", Decoder(),
-             Opens(kOther) + Says(protocol::Cancel{Attempt(1)}, kOther) +
-                 Says(protocol::Hello{}, kOther),  // already forgotten
-             "close bad_frame"},
-            {"cannot be about another entry's attempts", Decoder(),
-             Reserves({1, 1, kSuccessor}), "refused 1 superseded"}}),
+    {TraceCases("",
+                {{"begins with a Hello or ends", Decoder(),
+                  Opens(kOther) + Sends(protocol::Cancel{Attempt(1)}, kOther) +
+                      Sends(protocol::Hello{}, kOther),  // already forgotten
+                  "close bad_frame"},
+                 {"cannot be about another entry's attempts", Decoder(),
+                  Reserves({1, 1, kSuccessor}), "refused 1 superseded"}}),
      It("follows the manifest's bounds and its wish to leave, never an older",
         [] {
           AgentBench bench(Decoder());
@@ -356,17 +356,17 @@
           check(Drains(), true, 7);
           check(Manifests(7, false), true, 7);  // the process's wish stays
           CHECK(bench.core.drained());
-          bench.Say(
+          bench.Send(
               protocol::Renew{.incarnation = kEntry, .manifest = LogOffset(8)});
-          CHECK(bench.core.newest_manifest_heard() == LogOffset(8));
+          CHECK(bench.core.newest_reported_manifest() == LogOffset(8));
           // Symptom: agents went on under an old manifest for half a minute.
           // Sequence: one entry names an offset that never comes, the others
           // the next one. Cause: only what was higher than all was passed on.
-          bench.Say(protocol::Renew{.incarnation = kEntry,
-                                    .manifest = LogOffset(1'000'000)});
-          bench.Say(
+          bench.Send(protocol::Renew{.incarnation = kEntry,
+                                     .manifest = LogOffset(1'000'000)});
+          bench.Send(
               protocol::Renew{.incarnation = kEntry, .manifest = LogOffset(9)});
-          CHECK(bench.core.newest_manifest_heard() == LogOffset(9));
+          CHECK(bench.core.newest_reported_manifest() == LogOffset(9));
         })});
 
 struct HoldingRow {
@@ -414,9 +414,9 @@
      It("for how long, since the attempt's first message", [] {
        AgentBench bench(Decoder());
        Reserves(1).Play(bench);
-       bench.Pass(400ms);
+       bench.AdvanceBy(400ms);
        Streams(1).Play(bench);
-       bench.Pass(100ms);
+       bench.AdvanceBy(100ms);
        const auto held = bench.core.Holdings(bench.now);
        CHECK(held.size() == 1 && held[0].age == 500ms);
        CHECK(held[0].attempt == Attempt(1));
--- a/src/agent/tests/engine_care_test.cc
+++ b/src/agent/tests/engine_care_test.cc
@@ -1,6 +1,6 @@
 #include "agent/internal/engine_orders.h"
+#include "agent/internal/maintenance_permission.h"
 #include "agent/internal/stream_flow.h"
-#include "agent/internal/turn_taker.h"
 #include "agent/tests/agent_bench.h"
 
 namespace acacialug::agent {
@@ -47,7 +47,7 @@
           AgentBench bench(Decoder(), false);
           bench.Connect(kSession, kEntry);
           Reserves(1).Play(bench);
-          bench.Tell(engine::Held{{Attempt(8), Attempt(9)}});
+          bench.Deliver(engine::Held{{Attempt(8), Attempt(9)}});
           Reserves(2).Play(bench);
           CPPUNIT_ASSERT_EQUAL(
               std::string("welcome, refused 1 not_ready, abort 8, abort 9, "
@@ -61,7 +61,7 @@
           for (int i = 0; i < 8; ++i) {
             const Instant asked = bench.now;
             if (i != 0) {  // the first one gets no answer at all
-              bench.Tell(engine::ListFailed{});
+              bench.Deliver(engine::ListFailed{});
             }
             bench.now = bench.core.next_timer();
             bench.core.OnTimer(bench.now);
@@ -72,22 +72,23 @@
           CHECK(waits == (std::vector<Duration>{2s, 100ms, 200ms, 400ms, 800ms,
                                                 1600ms, 3200ms, 5s}));
         }),
-     Tales("that lists",
-           {{"a stream which just ended leaves it alone, others it aborts",
-             Decoder(),
-             Reserves(1) + Streams(1) + Reserves(2) + Streams(2) +
-                 Passes(4900ms) + Texts(1) + StreamEnds(2) +
-                 Lists({Attempt(1), Attempt(2), Attempt(3)}) + Passes(4s),
-             "reserved 1, decode 1, reserved 2, decode 2, chunk 1:0, "
-             "ended 2:0, abort 3",
-             1},
-            {"what it released long ago aborts it again", Decoder(),
-             Reserves(1) + Streams(1) + Passes(1s) + Cancels(1) +
-                 Lists({Attempt(1)}) + Passes(9s),
-             "reserved 1, decode 1, abort 1, abort 1"}})});
+     TraceCases("that lists",
+                {{"a stream which just ended leaves it alone, others it aborts",
+                  Decoder(),
+                  Reserves(1) + Streams(1) + Reserves(2) + Streams(2) +
+                      Advances(4900ms) + Texts(1) + StreamEnds(2) +
+                      Lists({Attempt(1), Attempt(2), Attempt(3)}) +
+                      Advances(4s),
+                  "reserved 1, decode 1, reserved 2, decode 2, chunk 1:0, "
+                  "ended 2:0, abort 3",
+                  1},
+                 {"what it released long ago aborts it again", Decoder(),
+                  Reserves(1) + Streams(1) + Advances(1s) + Cancels(1) +
+                      Lists({Attempt(1)}) + Advances(9s),
+                  "reserved 1, decode 1, abort 1, abort 1"}})});
 
-engine::Order Wanted(std::uint64_t fence) {
-  return {.fence = LogOffset(fence),
+engine::Order Wanted(std::uint64_t fencing_token) {
+  return {.fencing_token = LogOffset(fencing_token),
           .model = ModelName("m"),
           .version = "2",
           .adapters = {"a:1", "b:1"},
@@ -104,7 +105,7 @@
 
 engine::EngineState StateOf(const engine::Order& order,
                             const std::string& version = "2") {
-  return {.fence = order.fence,
+  return {.fencing_token = order.fencing_token,
           .model = order.model,
           .version = version,
           .adapters = order.adapters,
@@ -136,7 +137,7 @@
            for (const bool idle : {true, false}) {
              RandomSource random(1);
              EngineOrders orders({}, random);
-             orders.Want(Wanted(5), kNow);
+             orders.SetWanted(Wanted(5), kNow);
              CHECK(std::holds_alternative<engine::ReadState>(
                  *orders.TakeDue(idle, kNow)));
              engine::EngineState state = StateOf(Wanted(5));
@@ -157,18 +158,18 @@
         [] {
           RandomSource random(1);
           EngineOrders orders({}, random);
-          orders.Want(Wanted(5), kNow);
+          orders.SetWanted(Wanted(5), kNow);
           orders.TakeDue(true, kNow);
           orders.OnState(StateOf(Wanted(5), "1"), kNow);
           CHECK(!orders.TakeDue(false, kNow));
-          orders.Want(Wanted(7), kNow);
-          orders.Want(Wanted(6), kNow);  // older: no effect
+          orders.SetWanted(Wanted(7), kNow);
+          orders.SetWanted(Wanted(6), kNow);  // older: no effect
           orders.TakeDue(true, kNow);
           orders.OnState(StateOf(Wanted(5), "1"), kNow);
           const auto order =
               std::get<engine::Order>(*orders.TakeDue(true, kNow));
-          CHECK(order.fence == LogOffset(7));
-          orders.OnOrderDone({.fence = order.fence}, kNow);
+          CHECK(order.fencing_token == LogOffset(7));
+          orders.OnOrderDone({.fencing_token = order.fencing_token}, kNow);
           CHECK(orders.TakeDue(true, kNow).has_value());
           orders.OnState(StateOf(Wanted(7)), kNow);
           CHECK(orders.confirmed());
@@ -188,11 +189,11 @@
            .model = ModelName("m"), .version = "1", .role = "decode"};
        (Reserves(1) + Streams(1) +
         Step([&](AgentBench& b) { b.core.OnManifest(manifest, b.now); }) +
-        Tells(state) + Reserves(2) + StreamEnds(1) +
-        Tells(engine::OrderDone{.fence = manifest->offset}))
+        EngineReports(state) + Reserves(2) + StreamEnds(1) +
+        EngineReports(engine::OrderDone{.fencing_token = manifest->offset}))
            .Play(bench);
        state.version = "2";
-       bench.Tell(state);
+       bench.Deliver(state);
        Reserves(3).Play(bench);
        CPPUNIT_ASSERT_EQUAL(
            std::string("reserved 1, decode 1, read, refused 2 not_ready, "
@@ -203,7 +204,7 @@
 struct TurnCase {
   std::string name;
   std::function<void(engine::EngineState&)> change;  // from the wanted one
-  maintenance::MaintenanceIntent wish;
+  maintenance::MaintenanceIntent intent;
   bool fit;      // without a turn
   bool ordered;  // without a turn, when idle
 };
@@ -233,13 +234,14 @@
                        maintenance::MaintenanceIntent::kKeep, true, false}},
                      [](const TurnCase& row) {
                        RandomSource random(1);
-                       EngineOrders orders({.take_turns = true}, random);
-                       orders.Want(Wanted(5), kNow);
+                       EngineOrders orders({.use_maintenance_queue = true},
+                                           random);
+                       orders.SetWanted(Wanted(5), kNow);
                        orders.TakeDue(true, kNow);
                        engine::EngineState state = StateOf(Wanted(5));
                        row.change(state);
                        orders.OnState(state, kNow);
-                       CHECK(orders.turn_wish() == row.wish);
+                       CHECK(orders.maintenance_intent() == row.intent);
                        CPPUNIT_ASSERT_EQUAL(row.fit, orders.fit());
                        const auto command = orders.TakeDue(true, kNow);
                        CPPUNIT_ASSERT_EQUAL(
@@ -254,12 +256,12 @@
      It("keep new work away from the turn on, and wait for what runs",
         [] {
           RandomSource random(1);
-          EngineOrders orders({.take_turns = true}, random);
-          orders.Want(Wanted(5), kNow);
+          EngineOrders orders({.use_maintenance_queue = true}, random);
+          orders.SetWanted(Wanted(5), kNow);
           orders.TakeDue(false, kNow);
           orders.OnState(StateOf(Wanted(5), "1"), kNow);
           CHECK(orders.fit());
-          orders.SetTurn(true, kNow + 1s);
+          orders.SetMaintenanceGranted(true, kNow + 1s);
           CHECK(!orders.fit());
           CHECK(!orders.TakeDue(false, kNow + 9min));
           const auto command = orders.TakeDue(true, kNow + 9min);
@@ -272,12 +274,12 @@
      It("serve again when the turn cannot be confirmed before they are sent",
         [] {
           RandomSource random(1);
-          EngineOrders orders({.take_turns = true}, random);
-          orders.Want(Wanted(5), kNow);
+          EngineOrders orders({.use_maintenance_queue = true}, random);
+          orders.SetWanted(Wanted(5), kNow);
           orders.TakeDue(false, kNow);
           orders.OnState(StateOf(Wanted(5), "1"), kNow);
-          orders.SetTurn(true, kNow);
-          orders.SetTurn(false, kNow + 6s);
+          orders.SetMaintenanceGranted(true, kNow);
+          orders.SetMaintenanceGranted(false, kNow + 6s);
           CHECK(orders.fit() && !orders.out());
           CHECK(!orders.TakeDue(true, kNow + 7s));
         }),
@@ -286,13 +288,13 @@
      // the endpoint serves.
      It("do not serve on without the log once they are sent", [] {
        RandomSource random(1);
-       EngineOrders orders({.take_turns = true}, random);
-       orders.Want(Wanted(5), kNow);
+       EngineOrders orders({.use_maintenance_queue = true}, random);
+       orders.SetWanted(Wanted(5), kNow);
        orders.TakeDue(true, kNow);
        orders.OnState(StateOf(Wanted(5), "1"), kNow);
-       orders.SetTurn(true, kNow);
+       orders.SetMaintenanceGranted(true, kNow);
        CHECK(orders.TakeDue(true, kNow).has_value());
-       orders.SetTurn(false, kNow + 6s);
+       orders.SetMaintenanceGranted(false, kNow + 6s);
        CHECK(!orders.fit() && orders.out());
      })});
 
@@ -318,7 +320,7 @@
           AgentOptions options = Decoder();
           options.endpoint = EndpointId("x");
           RandomSource random(1);
-          TurnTaker taker(options, random);
+          MaintenancePermission permission(options, random);
           manifest::Manifest manifest;
           manifest.services = {{.name = ServiceName("s"),
                                 .kind = manifest::ServiceKind::kModel}};
@@ -328,30 +330,33 @@
                  .service = ServiceName("s"),
                  .role = EndpointRole::kDecode});
           }
-          taker.SetPool(manifest, manifest.endpoints[0], kNow);
-          taker.Note({.running = row.running, .limit = 10}, kNow);
+          permission.SetPool(manifest, manifest.endpoints[0], kNow);
+          permission.NoteLoad({.running = row.running, .limit = 10}, kNow);
           const Instant now = kNow + row.watched;
           // Claims, and reads its own claim alone.
-          maintenance::MaintenanceQueueClient& keeper = taker.keeper();
-          keeper.SetIntent(maintenance::MaintenanceIntent::kEnter, now);
-          keeper.OnTimer(now);
-          keeper.OnRead(cluster::ILog::Read{.next = LogOffset(1)}, now);
+          maintenance::MaintenanceQueueClient& queue_client =
+              permission.queue_client();
+          queue_client.SetIntent(maintenance::MaintenanceIntent::kEnter, now);
+          queue_client.OnTimer(now);
+          queue_client.OnRead(cluster::ILog::Read{.next = LogOffset(1)}, now);
           std::string claim;
           for (const maintenance::MaintenanceAction& action :
-               keeper.TakeActions()) {
+               queue_client.TakeActions()) {
             if (const auto* append =
                     std::get_if<maintenance::AppendMaintenanceRecord>(
                         &action)) {
               claim = append->payload;
             }
           }
-          keeper.OnAppended(LogOffset(1), now);
-          keeper.OnRead(cluster::ILog::Read{.first_kept = LogOffset(1),
-                                            .next = LogOffset(2),
-                                            .records = {{LogOffset(1), claim}}},
-                        now);
-          CPPUNIT_ASSERT_EQUAL(row.spared, taker.MayGo(true, false, now));
-          CHECK(taker.MayGo(false, true, now));
+          queue_client.OnAppended(LogOffset(1), now);
+          queue_client.OnRead(
+              cluster::ILog::Read{.first_kept = LogOffset(1),
+                                  .next = LogOffset(2),
+                                  .records = {{LogOffset(1), claim}}},
+              now);
+          CPPUNIT_ASSERT_EQUAL(row.spared,
+                               permission.MayLeaveService(true, false, now));
+          CHECK(permission.MayLeaveService(false, true, now));
         })});
 
 }  // namespace
--- a/src/agent/tests/heartbeat_test.cc
+++ b/src/agent/tests/heartbeat_test.cc
@@ -22,12 +22,12 @@
   }
   void OpenShard(SessionId session, const char* id, Incarnation incarnation) {
     this->core.OnSessionOpened(session, this->now);
-    this->Say(protocol::Hello{.entry = EntryId(id),
-                              .incarnation = incarnation,
-                              .process = EntryId("e1"),
-                              .process_incarnation = kProcess,
-                              .interval = 1s},
-              session);
+    this->Send(protocol::Hello{.entry = EntryId(id),
+                               .incarnation = incarnation,
+                               .process = EntryId("e1"),
+                               .process_incarnation = kProcess,
+                               .interval = 1s},
+               session);
   }
   std::optional<protocol::HeartbeatAnswer> Beat(const Heartbeat& heartbeat) {
     return this->core.OnHeartbeat(heartbeat, this->now);
@@ -35,7 +35,7 @@
   // Lets time pass with its timers, and tells which sessions lapsed.
   std::uint64_t Lapsed(Duration duration) {
     const std::uint64_t before = this->core.counters().sessions_lapsed;
-    this->Pass(duration);
+    this->AdvanceBy(duration);
     return this->core.counters().sessions_lapsed - before;
   }
 };
@@ -169,7 +169,7 @@
           Heartbeat heartbeat = Both();
           heartbeat.manifest = LogOffset(9);
           CHECK(bench.Beat(heartbeat)->leaving);
-          CHECK(bench.core.newest_manifest_heard() == LogOffset(9));
+          CHECK(bench.core.newest_reported_manifest() == LogOffset(9));
         }),
      It("of a stranger does not tell of a manifest", [] {
        Bench bench;
@@ -177,7 +177,7 @@
        forged.incarnation = Incarnation(1);
        forged.manifest = LogOffset(9);
        CHECK(!bench.Beat(forged));
-       CHECK(bench.core.newest_manifest_heard() == LogOffset());
+       CHECK(bench.core.newest_reported_manifest() == LogOffset());
      })});
 
 }  // namespace
--- a/src/agent/tests/once_ledger_test.cc
+++ b/src/agent/tests/once_ledger_test.cc
@@ -162,72 +162,74 @@
 
 const testing::Story kCalls(
     "a plain endpoint",
-    {Tales("that gets a call again after",
-           {{"it was answered, replays the answer", Plain(),
-             Calls(1, Key(1)) + CallEnds(1) + Calls(2, Key(1)),
-             "call 1, answered 1 yes, answered 2 again yes"},
-            {"its caller went away, replays what came later", Plain(),
-             Calls(1, Key(1)) + Cancels(1) + CallEnds(1) + Calls(2, Key(1)),
-             "call 1, answered 2 again yes"},
-            {"its session was lost, replays what came later", Plain(),
-             Calls(1, Key(1)) + Drops() + CallEnds(1) +
-                 Connects(kSession, kEntry) + Calls(2, Key(1)),
-             "call 1, welcome, answered 2 again yes"},
-            {"its deadline passed, says that it still runs", Plain(),
-             Calls(1, Key(1)) + Passes(9s) + Calls(2, Key(1)),
-             "call 1, failed 1 deadline_exceeded unknown, "
-             "failed 2 still_running unknown",
-             1},
-            {"the engine failed midway, says unknown for ever", Plain(),
-             Calls(1, Key(1)) + Fails(1) + Calls(2, Key(1)) + Passes(1h) +
-                 LooksUp(3, Key(1)),
-             "call 1, failed 1 engine_failed unknown, "
-             "failed 2 outcome_unknown unknown, failed 3 outcome_unknown "
-             "unknown"},
-            {"it never answered, says unknown for ever", Plain(),
-             Calls(1, Key(1)) + Passes(601s) + Calls(2, Key(1)),
-             "call 1, failed 1 deadline_exceeded unknown, abort 1, "
-             "failed 2 outcome_unknown unknown"},
-            {"the engine provably did not run it, runs it", Plain(),
-             Calls(1, Key(1)) + Fails(1, Outcome::kNotRun) + Calls(2, Key(1)),
-             "call 1, failed 1 engine_failed not_run, call 2", 1},
-            {"it was dropped from the queue, runs it", Plain(),
-             Calls(1) + Calls(2, Key(2)) + Calls(3) + Passes(5s) + CallEnds(1) +
-                 Calls(4, Key(2)),
-             "call 1, refused 3 overloaded, refused 2 deadline_unreachable, "
-             "answered 1 yes, call 4",
-             1},
-            {"a lookup found nothing, never runs it", Plain(),
-             LooksUp(1, Key(1)) + Calls(2, Key(1)),
-             "failed 1 superseded not_run, refused 2 superseded"},
-            {"its first with another request, runs neither twice", Plain(),
-             Calls(1, Key(1)) + Calls(2, Key(1, 8)) + LooksUp(3, Key(1, 8)),
-             "call 1, failed 2 key_reused not_run, failed 3 key_reused not_run",
-             1}}),
-     Tales("that leaves",
-           {{"answers resubmissions and runs nothing new", Plain(),
-             Calls(1, Key(1)) + Drains() + CallEnds(1) + Calls(2, Key(1)) +
-                 Calls(3, Key(2)) + Calls(4),
-             "call 1, leaving, answered 1 yes, answered 2 again yes, "
-             "refused 3 draining, refused 4 draining"}}),
-     Tales("that cannot know",
-           {// Symptom: a call runs on two starts of an agent. Sequence: the
-            // agent dies after the call ran; a ticket of that start comes to
-            // the next one. Cause: the ledger died with the start.
-            {"a ticket of another start, refuses it and calls it unknown",
-             Plain(), Calls(1, Foreign()) + LooksUp(2, Foreign()),
-             "refused 1 ticket_invalid, failed 2 ticket_invalid unknown"},
-            {"one key more, does not run it", Plain(4),
-             Calls(1, Key(1)) + Calls(2, Key(2)) + Calls(3, Key(3)) +
-                 LooksUp(4, Key(4)),
-             "call 1, call 2, failed 3 out_of_bounds not_run, "
-             "failed 4 out_of_bounds unknown",
-             2}}),
-     Tales("with an idempotent call",
-           {{"aborts it when its caller is gone", Plain(),
-             Calls(1) + Cancels(1), "call 1, abort 1"},
-            {"aborts it at its deadline", Plain(), Calls(1) + Passes(9s),
-             "call 1, failed 1 deadline_exceeded unknown, abort 1"}})});
+    {TraceCases(
+         "that gets a call again after",
+         {{"it was answered, replays the answer", Plain(),
+           Calls(1, Key(1)) + CallEnds(1) + Calls(2, Key(1)),
+           "call 1, answered 1 yes, answered 2 again yes"},
+          {"its caller went away, replays what came later", Plain(),
+           Calls(1, Key(1)) + Cancels(1) + CallEnds(1) + Calls(2, Key(1)),
+           "call 1, answered 2 again yes"},
+          {"its session was lost, replays what came later", Plain(),
+           Calls(1, Key(1)) + Drops() + CallEnds(1) +
+               Connects(kSession, kEntry) + Calls(2, Key(1)),
+           "call 1, welcome, answered 2 again yes"},
+          {"its deadline passed, says that it still runs", Plain(),
+           Calls(1, Key(1)) + Advances(9s) + Calls(2, Key(1)),
+           "call 1, failed 1 deadline_exceeded unknown, "
+           "failed 2 still_running unknown",
+           1},
+          {"the engine failed midway, says unknown for ever", Plain(),
+           Calls(1, Key(1)) + Fails(1) + Calls(2, Key(1)) + Advances(1h) +
+               LooksUp(3, Key(1)),
+           "call 1, failed 1 engine_failed unknown, "
+           "failed 2 outcome_unknown unknown, failed 3 outcome_unknown "
+           "unknown"},
+          {"it never answered, says unknown for ever", Plain(),
+           Calls(1, Key(1)) + Advances(601s) + Calls(2, Key(1)),
+           "call 1, failed 1 deadline_exceeded unknown, abort 1, "
+           "failed 2 outcome_unknown unknown"},
+          {"the engine provably did not run it, runs it", Plain(),
+           Calls(1, Key(1)) + Fails(1, Outcome::kNotRun) + Calls(2, Key(1)),
+           "call 1, failed 1 engine_failed not_run, call 2", 1},
+          {"it was dropped from the queue, runs it", Plain(),
+           Calls(1) + Calls(2, Key(2)) + Calls(3) + Advances(5s) + CallEnds(1) +
+               Calls(4, Key(2)),
+           "call 1, refused 3 overloaded, refused 2 deadline_unreachable, "
+           "answered 1 yes, call 4",
+           1},
+          {"a lookup found nothing, never runs it", Plain(),
+           LooksUp(1, Key(1)) + Calls(2, Key(1)),
+           "failed 1 superseded not_run, refused 2 superseded"},
+          {"its first with another request, runs neither twice", Plain(),
+           Calls(1, Key(1)) + Calls(2, Key(1, 8)) + LooksUp(3, Key(1, 8)),
+           "call 1, failed 2 key_reused not_run, failed 3 key_reused not_run",
+           1}}),
+     TraceCases("that leaves",
+                {{"answers resubmissions and runs nothing new", Plain(),
+                  Calls(1, Key(1)) + Drains() + CallEnds(1) + Calls(2, Key(1)) +
+                      Calls(3, Key(2)) + Calls(4),
+                  "call 1, leaving, answered 1 yes, answered 2 again yes, "
+                  "refused 3 draining, refused 4 draining"}}),
+     TraceCases(
+         "that cannot know",
+         {// Symptom: a call runs on two starts of an agent. Sequence: the
+          // agent dies after the call ran; a ticket of that start comes to
+          // the next one. Cause: the ledger died with the start.
+          {"a ticket of another start, refuses it and calls it unknown",
+           Plain(), Calls(1, Foreign()) + LooksUp(2, Foreign()),
+           "refused 1 ticket_invalid, failed 2 ticket_invalid unknown"},
+          {"one key more, does not run it", Plain(4),
+           Calls(1, Key(1)) + Calls(2, Key(2)) + Calls(3, Key(3)) +
+               LooksUp(4, Key(4)),
+           "call 1, call 2, failed 3 out_of_bounds not_run, "
+           "failed 4 out_of_bounds unknown",
+           2}}),
+     TraceCases("with an idempotent call",
+                {{"aborts it when its caller is gone", Plain(),
+                  Calls(1) + Cancels(1), "call 1, abort 1"},
+                 {"aborts it at its deadline", Plain(), Calls(1) + Advances(9s),
+                  "call 1, failed 1 deadline_exceeded unknown, abort 1"}})});
 
 }  // namespace
 }  // namespace acacialug::agent
--- a/src/agent/tests/prefill_test.cc
+++ b/src/agent/tests/prefill_test.cc
@@ -118,7 +118,7 @@
 
 const testing::Story kAdmission(
     "a prefill endpoint",
-    {Tales(
+    {TraceCases(
          "asked for half a second of work",
          {{"admits what it can do", Prefiller(), Prefills(1, 500ms),
            "prefill 1", 1},
@@ -141,58 +141,59 @@
           // feasible. Sequence: the engine slows down. Cause: a prediction
           // without a margin is wrong until the rate is learnt.
           {"adds a margin once its predictions were too early", Prefiller(),
-           Prefills(1, 9s, 100) + Passes(500ms) + PrefillEnds(1) +
+           Prefills(1, 9s, 100) + Advances(500ms) + PrefillEnds(1) +
                Prefills(2, 530ms, 100) + Prefills(3, 550ms, 100),
            "prefill 1, prefilled 1, refused 2 deadline_unreachable, prefill 3",
            2}}),
-     Tales("whose engine",
-           {// Symptom: queued work is told too late that it was not run.
-            // Cause: the queue is looked at only when a prefill ends.
-            {"stalls, refuses queued work in time and gives up the stalled",
-             Prefiller(), Prefills(1) + Prefills(2, 2s) + Passes(20s),
-             "prefill 1, refused 2 deadline_unreachable, "
-             "failed 1 engine_failed unknown, abort 1"},
-            // The agent's lease was a long one, and it stood still past the
-            // stall: it aborted a prefill whose end lay in its socket.
-            {"ends a prefill while the agent stands still, is believed",
-             [] {
-               AgentOptions options = Prefiller();
-               options.session_lease = 1h;
-               return options;
-             }(),
-             Prefills(1) + Freezes(20s) + PrefillEnds(1),
-             "prefill 1, prefilled 1", 1},
-            {"stays silent after the agent stood still, is given up all the "
-             "same",
-             [] {
-               AgentOptions options = Prefiller();
-               options.session_lease = 1h;
-               return options;
-             }(),
-             Prefills(1) + Freezes(20s) + Passes(1s),
-             "prefill 1, failed 1 engine_failed unknown, abort 1"},
-            {"ends a prefill, gets the next", Prefiller(),
-             Prefills(1) + Prefills(2) + PrefillEnds(1),
-             "prefill 1, prefill 2, prefilled 1", 2},
-            {"fails a prefill, gets the next", Prefiller(),
-             Prefills(1) + Prefills(2) + Fails(1),
-             "prefill 1, failed 1 engine_failed unknown, prefill 2", 1},
-            {"is told to abort one, gets the next", Prefiller(),
-             Prefills(1) + Prefills(2) + Cancels(1),
-             "prefill 1, abort 1, prefill 2", 1},
-            // Symptom: a stream fails although its prefill was done in time.
-            // Sequence: its transfer begins within the export's lifetime, and
-            // others share the link, so that it ends after it. Cause: the
-            // export was freed at its lifetime, under the transfer.
-            {"keeps an export for a transfer past its lifetime, is left to",
-             Prefiller(), Prefills(1) + PrefillEnds(1) + Passes(800ms),
-             "prefill 1, prefilled 1", 1},
-            {"keeps an export for longer than a transfer may stall, is told "
-             "to free it",
-             Prefiller(), Prefills(1) + PrefillEnds(1) + Passes(5800ms),
-             "prefill 1, prefilled 1, abort 1"},
-            {"exports for nobody, is told to free it", Prefiller(),
-             PrefillEnds(7), "abort 7"}})});
+     TraceCases(
+         "whose engine",
+         {// Symptom: queued work is told too late that it was not run.
+          // Cause: the queue is looked at only when a prefill ends.
+          {"stalls, refuses queued work in time and gives up the stalled",
+           Prefiller(), Prefills(1) + Prefills(2, 2s) + Advances(20s),
+           "prefill 1, refused 2 deadline_unreachable, "
+           "failed 1 engine_failed unknown, abort 1"},
+          // The agent's lease was a long one, and it stood still past the
+          // stall: it aborted a prefill whose end lay in its socket.
+          {"ends a prefill while the agent stands still, is believed",
+           [] {
+             AgentOptions options = Prefiller();
+             options.session_lease = 1h;
+             return options;
+           }(),
+           Prefills(1) + Stalls(20s) + PrefillEnds(1), "prefill 1, prefilled 1",
+           1},
+          {"stays silent after the agent stood still, is given up all the "
+           "same",
+           [] {
+             AgentOptions options = Prefiller();
+             options.session_lease = 1h;
+             return options;
+           }(),
+           Prefills(1) + Stalls(20s) + Advances(1s),
+           "prefill 1, failed 1 engine_failed unknown, abort 1"},
+          {"ends a prefill, gets the next", Prefiller(),
+           Prefills(1) + Prefills(2) + PrefillEnds(1),
+           "prefill 1, prefill 2, prefilled 1", 2},
+          {"fails a prefill, gets the next", Prefiller(),
+           Prefills(1) + Prefills(2) + Fails(1),
+           "prefill 1, failed 1 engine_failed unknown, prefill 2", 1},
+          {"is told to abort one, gets the next", Prefiller(),
+           Prefills(1) + Prefills(2) + Cancels(1),
+           "prefill 1, abort 1, prefill 2", 1},
+          // Symptom: a stream fails although its prefill was done in time.
+          // Sequence: its transfer begins within the export's lifetime, and
+          // others share the link, so that it ends after it. Cause: the
+          // export was freed at its lifetime, under the transfer.
+          {"keeps an export for a transfer past its lifetime, is left to",
+           Prefiller(), Prefills(1) + PrefillEnds(1) + Advances(800ms),
+           "prefill 1, prefilled 1", 1},
+          {"keeps an export for longer than a transfer may stall, is told "
+           "to free it",
+           Prefiller(), Prefills(1) + PrefillEnds(1) + Advances(5800ms),
+           "prefill 1, prefilled 1, abort 1"},
+          {"exports for nobody, is told to free it", Prefiller(),
+           PrefillEnds(7), "abort 7"}})});
 
 }  // namespace
 }  // namespace acacialug::agent
--- a/src/agent/tests/random_order_test.cc
+++ b/src/agent/tests/random_order_test.cc
@@ -76,8 +76,8 @@
   Duration Within(std::uint64_t milliseconds) {
     return Duration(this->Pick(1000 * milliseconds));
   }
-  void Say(const protocol::EntryToAgent& message) {
-    this->bench.Say(message, this->session);
+  void Send(const protocol::EntryToAgent& message) {
+    this->bench.Send(message, this->session);
   }
 
   void Step() {
@@ -86,36 +86,36 @@
     const protocol::Once once = this->AnyOnce();
     switch (this->Pick(14)) {
       case 0:
-        return this->Say(protocol::Reserve{attempt, this->Pick(300),
-                                           this->Pick(9000), this->Within(900),
-                                           this->Within(3000)});
+        return this->Send(protocol::Reserve{attempt, this->Pick(300),
+                                            this->Pick(9000), this->Within(900),
+                                            this->Within(3000)});
       case 1:
-        return this->Say(protocol::StartDecode{
+        return this->Send(protocol::StartDecode{
             .attempt = attempt,
             .generation = {.max_tokens = 50},
             .kv_tokens = this->Pick(300),
             .window_chunks = std::uint32_t(this->Pick(4))});
       case 2:
-        return this->Say(
+        return this->Send(
             protocol::StartPrefill{.attempt = attempt,
                                    .prefix = {this->Pick(3), this->Pick(3)},
                                    .prompt_tokens = this->Pick(20000),
                                    .finish_within = this->Within(4000)});
       case 3:
       case 4:  // the engine sees the key as the target: its runs are counted
-        return this->Say(
+        return this->Send(
             protocol::StartCall{attempt,
                                 {.target = std::to_string(once.key_low)},
                                 once,
                                 this->Within(900),
                                 this->Within(3000)});
       case 5:
-        return this->Say(protocol::LookUp{attempt, once});
+        return this->Send(protocol::LookUp{attempt, once});
       case 6:
-        return this->Say(protocol::Cancel{this->AnyRunning()});
+        return this->Send(protocol::Cancel{this->AnyRunning()});
       case 7:
-        return this->Say(protocol::Acknowledge{this->AnyRunning(),
-                                               SequenceNumber(this->Pick(9))});
+        return this->Send(protocol::Acknowledge{this->AnyRunning(),
+                                                SequenceNumber(this->Pick(9))});
       case 8:
         return this->bench.core.OnSessionClosed(this->session, this->bench.now);
       case 9:
@@ -139,25 +139,25 @@
     switch (this->Pick(6)) {
       case 0:
         this->EndIn(Phase::kPrefill, attempt);
-        return this->bench.Tell(engine::PrefillDone{
+        return this->bench.Deliver(engine::PrefillDone{
             .attempt = attempt, .usage = {.prompt_tokens = 1000}});
       case 1:
         this->EndIn(Phase::kDecode, attempt);
-        return this->bench.Tell(engine::StreamDone{attempt});
+        return this->bench.Deliver(engine::StreamDone{attempt});
       case 2:
         this->EndIn(Phase::kCall, attempt);
-        return this->bench.Tell(engine::CallDone{.attempt = attempt});
+        return this->bench.Deliver(engine::CallDone{.attempt = attempt});
       case 3: {
         const Outcome outcome =
             this->Coin() ? Outcome::kNotRun : Outcome::kUnknown;
         if (this->running.erase(attempt) != 0 && outcome == Outcome::kNotRun) {
           this->ran_keys.erase(this->key_of[attempt]);
         }
-        return this->bench.Tell(
+        return this->bench.Deliver(
             engine::AttemptFailed{attempt, ResultCode::kEngineFailed, outcome});
       }
       default:
-        return this->bench.Tell(engine::Text{attempt, "x", 1});
+        return this->bench.Deliver(engine::Text{attempt, "x", 1});
     }
   }
 
@@ -202,7 +202,7 @@
     } else if (const auto* abort = std::get_if<engine::Abort>(&command)) {
       this->running.erase(abort->attempt);
     } else if (std::holds_alternative<engine::ListHeld>(command)) {
-      this->bench.Tell(
+      this->bench.Deliver(
           engine::Held{{this->running.begin(), this->running.end()}});
     }
   }
--- a/src/agent/tests/sessions_and_attempts_test.cc
+++ b/src/agent/tests/sessions_and_attempts_test.cc
@@ -112,9 +112,9 @@
   kNothing,
   kOpen,
   kRefused,
-  kOver,
+  kEnded,
   kNewerOpen,
-  kNewerOver,
+  kNewerEnded,
   kRanOlder,
   kForgotten,
 };
@@ -132,19 +132,19 @@
          {{"knows a first message", Before::kNothing, Admission::kNew},
           {"knows an attempt under way", Before::kOpen, Admission::kOpen},
           {"repeats a refusal", Before::kRefused, Admission::kRefusedBefore},
-          {"drops what is over", Before::kOver, Admission::kOverBefore},
+          {"drops what is over", Before::kEnded, Admission::kEndedBefore},
           {"supersedes beside a newer one", Before::kNewerOpen,
            Admission::kSuperseded},
           {"drops an older one that ran beside a newer one", Before::kRanOlder,
-           Admission::kOverBefore},
-          {"supersedes after a newer one", Before::kNewerOver,
+           Admission::kEndedBefore},
+          {"supersedes after a newer one", Before::kNewerEnded,
            Admission::kSuperseded},
           {"takes a forgotten one as new", Before::kForgotten,
            Admission::kNew}},
          [](const OpenCase& row) {
            AttemptTable table({.memory = 15s});
            const bool newer = row.before == Before::kNewerOpen ||
-                              row.before == Before::kNewerOver;
+                              row.before == Before::kNewerEnded;
            const AttemptId earlier = Attempt(1, newer ? 3 : 2);
            if (row.before != Before::kNothing) {
              table.Open(earlier, kSession, kNow);
@@ -155,7 +155,7 @@
              table.CloseNotRun(earlier, ResultCode::kLinkBusy, kNow);
            } else if (row.before != Before::kOpen &&
                       row.before != Before::kNewerOpen) {
-             table.CloseOver(earlier, kNow);
+             table.CloseEnded(earlier, kNow);
            }
            table.Expire(row.before == Before::kForgotten ? kNow + 15s
                                                          : kNow + 14s);
@@ -171,7 +171,7 @@
           table.Open(Attempt(1, 1), kSession, kNow);
           CHECK(table.Open(Attempt(1, 2), kSession, kNow).replaced ==
                 Attempt(1, 1));
-          table.CloseOver(Attempt(1, 1), kNow);
+          table.CloseEnded(Attempt(1, 1), kNow);
           CHECK(table.Open(Attempt(1, 2), kSession, kNow).admission ==
                 Admission::kOpen);
           CHECK(table.OpenOf(kSession) == Attempts{Attempt(1, 2)});
@@ -188,7 +188,7 @@
        AttemptTable table({.max_remembered = 10});
        for (std::uint64_t request = 1; request <= 100; ++request) {
          table.Open(Attempt(request), kSession, kNow);
-         table.CloseOver(Attempt(request), kNow);
+         table.CloseEnded(Attempt(request), kNow);
        }
        CHECK(table.remembered() == 10);
      })});
--- a/src/agent/types/agent_messages.h
+++ b/src/agent/types/agent_messages.h
@@ -28,7 +28,7 @@
 };
 
 // Reads or appends to the pool's stream of the platform's log; the answer goes
-// to OnTurnsRead or OnTurnAppended. One at a time.
+// to OnMaintenanceRead or OnMaintenanceAppended. One at a time.
 using maintenance::AppendMaintenanceRecord;
 using maintenance::ReadMaintenanceStream;
 
--- a/src/agent/types/agent_options.h
+++ b/src/agent/types/agent_options.h
@@ -38,7 +38,7 @@
   bool check_attempts = true;
   bool clean_sessions = true;
   bool reserve_before_prefill = true;
-  bool wait_for_turn = true;
+  bool wait_for_maintenance = true;
 };
 
 struct AgentOptions {
@@ -70,9 +70,9 @@
   std::uint32_t once_max_keys = 20000;
   // Orders that take a serving endpoint out wait for their turn in the pool's
   // stream of the platform's log. False where there is no log.
-  bool order_turns = false;
+  bool use_maintenance_queue = false;
   // An endpoint goes out only if the rest then stays below this share.
-  double busiest_rest = 0.8;
+  double max_remaining_utilisation = 0.8;
   Duration utilisation_memory = 10s;
   AgentRules rules;
 };
--- a/src/agent/types/order_status.h
+++ b/src/agent/types/order_status.h
@@ -12,9 +12,9 @@
 struct OrderStatus {
   bool confirmed = false;  // the engine has told that it is as wanted
   bool out = false;        // taken out of service by an order
-  maintenance::MaintenanceIntent wish = maintenance::MaintenanceIntent::kKeep;
+  maintenance::MaintenanceIntent intent = maintenance::MaintenanceIntent::kKeep;
   // Members of the pool that asked before; empty without an open claim.
-  std::optional<std::uint64_t> before;
+  std::optional<std::uint64_t> members_ahead;
   std::uint64_t appends = 0;  // to the pool's stream
 };
 
--- a/src/agent_process/internal/agent_runtime.cc
+++ b/src/agent_process/internal/agent_runtime.cc
@@ -161,7 +161,8 @@
 agent::AgentOptions AgentRuntime::CoreOptions() const {
   agent::AgentOptions core_options = this->settings.agent;
   core_options.incarnation = this->incarnation;
-  core_options.order_turns = static_cast<bool>(this->options.make_turns_log);
+  core_options.use_maintenance_queue =
+      static_cast<bool>(this->options.make_turns_log);
   return core_options;
 }
 
@@ -278,7 +279,7 @@
                                 const Result<cluster::ILog::Read>& result) {
                               if (!weak.expired()) {
                                 const Instant now = MonotonicNow();
-                                this->core.OnTurnsRead(result, now);
+                                this->core.OnMaintenanceRead(result, now);
                                 this->Pump(now);
                               }
                             });
@@ -290,7 +291,7 @@
                               const Result<LogOffset>& result) {
                             if (!weak.expired()) {
                               const Instant now = MonotonicNow();
-                              this->core.OnTurnAppended(result, now);
+                              this->core.OnMaintenanceAppended(result, now);
                               this->Pump(now);
                             }
                           });
@@ -323,7 +324,7 @@
 }
 
 void AgentRuntime::TellNewerManifest() {
-  const LogOffset heard = this->core.newest_manifest_heard();
+  const LogOffset heard = this->core.newest_reported_manifest();
   if (heard != this->last_told && this->options.on_manifest_heard) {
     this->last_told = heard;
     this->options.on_manifest_heard(heard);
@@ -331,7 +332,7 @@
 }
 
 void AgentRuntime::TellAlone() {
-  const bool now_alone = this->core.alone();
+  const bool now_alone = this->core.has_no_sessions();
   if (now_alone != this->told_alone && this->options.on_alone) {
     this->told_alone = now_alone;
     this->options.on_alone(now_alone);
--- a/src/agent_process/internal/permitted_engine.cc
+++ b/src/agent_process/internal/permitted_engine.cc
@@ -35,7 +35,7 @@
   }
   this->options.store->Acquire(
       this->options.endpoint,
-      [this, fence = order.fence,
+      [this, fencing_token = order.fencing_token,
        weak = std::weak_ptr(this->alive)](const Result<Duration>& permit) {
         if (weak.expired()) {
           return;
@@ -46,7 +46,7 @@
           this->permit_ends = this->options.now() + *permit;
         }
         this->on_event(engine::OrderDone{
-            .fence = fence,
+            .fencing_token = fencing_token,
             .code = permit.ok() ? ResultCode::kOverloaded
                                 : permit.error().result_code()});
       });
--- a/src/agent_process/internal/status_metrics.cc
+++ b/src/agent_process/internal/status_metrics.cc
@@ -78,7 +78,7 @@
     {"streams_stalled", "Streams ended for want of progress",
      OfCore<&CoreCounters::streams_stalled>},
     {"refused_while_silent", "Refused while the engine stood still",
-     OfCore<&CoreCounters::refused_while_silent>},
+     OfCore<&CoreCounters::refused_while_stalled>},
     {"orphans_aborted", "Attempts found in the engine and not owned",
      OfCore<&CoreCounters::orphans_aborted>},
 }};
@@ -154,8 +154,9 @@
     {"order_turn_rank",
      "Members of the pool that claimed a turn before; else -1",
      [](const AgentStatus& status) {
-       return status.orders.before ? static_cast<double>(*status.orders.before)
-                                   : -1.0;
+       return status.orders.members_ahead
+                  ? static_cast<double>(*status.orders.members_ahead)
+                  : -1.0;
      },
      metrics::GaugeMerge::kMaximum},
     {"order_appends", "Claims and releases of turns appended to the log",
--- a/src/engine/internal/abort_sender.cc
+++ b/src/engine/internal/abort_sender.cc
@@ -20,7 +20,7 @@
                          http::Client& http_client)
     : options(engine_options),
       client(http_client),
-      next_retry(engine_options.first_abort_retry) {
+      next_retry(engine_options.min_abort_retry) {
   this->timer.setSingleShot(true);
   QObject::connect(&this->timer, &QTimer::timeout, [this] { this->Send(); });
 }
@@ -55,7 +55,7 @@
 
 void AbortSender::OnAnswered() {
   this->sent.clear();
-  this->next_retry = this->options.first_abort_retry;
+  this->next_retry = this->options.min_abort_retry;
   if (!this->waiting.empty()) {
     this->Send();
   }
@@ -68,7 +68,7 @@
   this->timer.start(
       std::chrono::duration_cast<std::chrono::milliseconds>(this->next_retry));
   this->next_retry =
-      std::min(2 * this->next_retry, this->options.last_abort_retry);
+      std::min(2 * this->next_retry, this->options.max_abort_retry);
 }
 
 }  // namespace acacialug::engine
--- a/src/engine/internal/openai_engine.cc
+++ b/src/engine/internal/openai_engine.cc
@@ -112,7 +112,7 @@
 }
 
 void OpenAiEngine::Run(const Order& command) {
-  const LogOffset fence = command.fence;
+  const LogOffset fencing_token = command.fencing_token;
   auto status = std::make_shared<int>(0);
   this->requests.Send(
       this->options.address,
@@ -123,14 +123,16 @@
       {.on_head = [status](int head_status,
                            const http::Headers&) { *status = head_status; },
        .on_end =
-           [this, fence, status](const std::string& body) {
-             this->outlet.Send(OrderDone{
-                 .fence = fence, .code = ParseOrderAnswer(*status, body)});
+           [this, fencing_token, status](const std::string& body) {
+             this->outlet.Send(
+                 OrderDone{.fencing_token = fencing_token,
+                           .code = ParseOrderAnswer(*status, body)});
            },
        .on_error =
-           [this, fence](const Error&, bool) {
-             this->outlet.Send(OrderDone{
-                 .fence = fence, .code = ResultCode::kEngineUnavailable});
+           [this, fencing_token](const Error&, bool) {
+             this->outlet.Send(
+                 OrderDone{.fencing_token = fencing_token,
+                           .code = ResultCode::kEngineUnavailable});
            }});
 }
 
@@ -173,7 +175,7 @@
 }
 
 void OpenAiEngine::OnPrefillEnd(Work& work, const std::string& body) {
-  if (work.over) {
+  if (work.finished) {
     return;
   }
   if (work.status != kOkStatus) {
@@ -197,7 +199,7 @@
 }
 
 void OpenAiEngine::OnStreamData(const WorkPtr& work, std::string_view data) {
-  if (work->over) {
+  if (work->finished) {
     return;
   }
   if (work->status != kOkStatus) {
@@ -206,14 +208,14 @@
     return;
   }
   work->reader.Feed(data);
-  while (!work->over) {
+  while (!work->finished) {
     const auto event = work->reader.Next();
     if (!event) {
       break;
     }
     this->OnStreamEvent(*work, *event);
   }
-  if (!work->over && work->reader.broken()) {
+  if (!work->finished && work->reader.broken()) {
     work->client->Cancel(work->exchange);
     this->Fail(*work, {.code = ResultCode::kEngineBadAnswer});
   }
@@ -262,7 +264,7 @@
 }
 
 void OpenAiEngine::OnStreamEnd(Work& work) {
-  if (work.over) {
+  if (work.finished) {
     return;
   }
   if (work.status != kOkStatus) {
@@ -287,7 +289,7 @@
 }
 
 void OpenAiEngine::FailExchange(Work& work, bool sent) {
-  if (work.over) {
+  if (work.finished) {
     return;
   }
   this->Fail(work, sent ? Failure{.code = ResultCode::kEngineFailed}
@@ -296,7 +298,7 @@
 }
 
 void OpenAiEngine::Finish(Work& work) {
-  work.over = true;
+  work.finished = true;
   this->works.erase(work.attempt);
 }
 
--- a/src/engine/internal/openai_engine.h
+++ b/src/engine/internal/openai_engine.h
@@ -36,7 +36,7 @@
     EventStreamReader reader;
     std::optional<protocol::FinishReason> reason;
     protocol::Usage usage;
-    bool over = false;  // no event of it may leave any more
+    bool finished = false;  // no event of it may leave any more
   };
   using WorkPtr = std::shared_ptr<Work>;
 
--- a/src/engine/internal/openai_format.cc
+++ b/src/engine/internal/openai_format.cc
@@ -241,7 +241,7 @@
 }
 
 std::string OrderBody(const Order& order) {
-  return Dump({{"fence", order.fence.value},
+  return Dump({{"fence", order.fencing_token.value},
                {"model", order.model.text},
                {"version", order.version},
                {"adapters", order.adapters},
@@ -262,11 +262,12 @@
   if (!Member(answer, "model").is_string()) {
     return Error(ResultCode::kEngineBadAnswer, "no model in the state");
   }
-  EngineState state{.fence = LogOffset(Unsigned(Member(answer, "fence"))),
-                    .model = ModelName(Text(answer["model"])),
-                    .version = Text(Member(answer, "version")),
-                    .role = Text(Member(answer, "role")),
-                    .loading = Member(answer, "loading") == Json(true)};
+  EngineState state{
+      .fencing_token = LogOffset(Unsigned(Member(answer, "fence"))),
+      .model = ModelName(Text(answer["model"])),
+      .version = Text(Member(answer, "version")),
+      .role = Text(Member(answer, "role")),
+      .loading = Member(answer, "loading") == Json(true)};
   for (const Json& adapter : Member(answer, "adapters")) {
     state.adapters.push_back(Text(adapter));
   }
--- a/src/engine/internal/plain_engine.cc
+++ b/src/engine/internal/plain_engine.cc
@@ -105,8 +105,8 @@
 }
 
 void PlainEngine::Run(const Order& command) {
-  this->outlet.Post(
-      OrderDone{.fence = command.fence, .code = ResultCode::kOrderRefused});
+  this->outlet.Post(OrderDone{.fencing_token = command.fencing_token,
+                              .code = ResultCode::kOrderRefused});
 }
 
 void PlainEngine::Run(const ReadState&) {
--- a/src/engine/tests/openai_engine_test.cc
+++ b/src/engine/tests/openai_engine_test.cc
@@ -107,7 +107,7 @@
           .endpoint = EndpointId("p1"),
           .kv_bytes_per_token = 10,
           .silence_timeout = 20s,
-          .first_abort_retry = 1ms,
+          .min_abort_retry = 1ms,
           .max_event_bytes = 1000};
 }
 
@@ -440,8 +440,8 @@
            ScriptedServer server(Whole(row.status, row.body));
            EngineUnderTest under_test(Options(server.address()));
            const auto done = under_test.Await<OrderDone>(
-               Order{.fence = LogOffset(8), .adapters = {"isbn"}});
-           CPPUNIT_ASSERT(done.fence == LogOffset(8));
+               Order{.fencing_token = LogOffset(8), .adapters = {"isbn"}});
+           CPPUNIT_ASSERT(done.fencing_token == LogOffset(8));
            CPPUNIT_ASSERT(done.code == row.code);
            CPPUNIT_ASSERT(Json::parse(server.requests[0].body)["fence"] == 8);
          }),
@@ -453,7 +453,7 @@
           EngineUnderTest under_test(Options(server.address()));
           const auto state = under_test.Await<EngineState>(ReadState{});
           CPPUNIT_ASSERT(state.code == ResultCode::kOk);
-          CPPUNIT_ASSERT(state.fence == LogOffset(8) && state.loading);
+          CPPUNIT_ASSERT(state.fencing_token == LogOffset(8) && state.loading);
           CPPUNIT_ASSERT(state.adapters == std::vector<std::string>{"a"});
         }),
      It("tell that an engine is not there, and that nothing ran", [] {
--- a/src/engine/types/engine_messages.h
+++ b/src/engine/types/engine_messages.h
@@ -47,9 +47,9 @@
 // Asks which attempts the engine holds, exports included.
 struct ListHeld {};
 
-// Brings the engine to this state; `fence` is the manifest's offset.
+// Brings the engine to this state; `fencing_token` is the manifest's offset.
 struct Order {
-  LogOffset fence;
+  LogOffset fencing_token;
   ModelName model;
   std::string version;
   std::vector<std::string> adapters;
@@ -107,13 +107,13 @@
 struct ListFailed {};
 
 struct OrderDone {
-  LogOffset fence;
+  LogOffset fencing_token;
   ResultCode code = ResultCode::kOk;  // kOrderRefused, kOrderFenced, ...
 };
 
 struct EngineState {
   ResultCode code = ResultCode::kOk;  // kEngineUnavailable when not read
-  LogOffset fence;
+  LogOffset fencing_token;
   ModelName model;
   std::string version;
   std::vector<std::string> adapters;
--- a/src/engine/types/engine_options.h
+++ b/src/engine/types/engine_options.h
@@ -29,8 +29,8 @@
   Duration silence_timeout = 60s;
   // An abort that did not reach the engine is tried again, after this long at
   // first and twice as long each time, up to the second.
-  Duration first_abort_retry = 200ms;
-  Duration last_abort_retry = 5s;
+  Duration min_abort_retry = 200ms;
+  Duration max_abort_retry = 5s;
   std::size_t max_event_bytes = std::size_t{1} << 20;  // one server-sent event
 };
 
--- a/src/entry/internal/call_events.cc
+++ b/src/entry/internal/call_events.cc
@@ -101,7 +101,7 @@
   }
   this->context.budget.NoteSuccess();
   ++this->context.counters.completed;
-  this->service.NoteBegun(now);
+  this->service.NoteStarted(now);
   this->Leave(now, false);
   this->Abandon(now);
   this->Emit(AnswerCall{.request = this->terms.request,
--- a/src/entry/internal/call_machine.cc
+++ b/src/entry/internal/call_machine.cc
@@ -184,9 +184,9 @@
 
 // Time in which this process stood still is none in which the home could be
 // asked.
-Instant CallMachine::PatienceWithHomeEnd() const {
+Instant CallMachine::HomeWaitDeadline() const {
   return std::max(this->look_up_until,
-                  this->context.judging_from + kReopeningTime);
+                  this->context.no_timeout_before + kReopeningTime);
 }
 
 // A ticket's home that only lost its session is connected again; one whose
@@ -199,7 +199,7 @@
   }
   const Incarnation agent = this->context.fleet.AgentOf(home);
   if ((agent != Incarnation() && agent != bound.home) ||
-      now >= this->PatienceWithHomeEnd()) {
+      now >= this->HomeWaitDeadline()) {
     this->Fail(ResultCode::kTicketInvalid, protocol::Outcome::kUnknown,
                Duration::zero(), now);
     return;
@@ -218,11 +218,11 @@
   if (this->state == RequestState::kWaiting) {
     return this->resuming
                ? this->terms.deadline
-               : std::min(this->PatienceEnd(), this->terms.first_token_by);
+               : std::min(this->WaitDeadline(), this->terms.first_token_by);
   }
   return std::min({this->terms.deadline, this->look_up_at,
                    this->stage == CallStage::kLookingUp
-                       ? this->PatienceWithHomeEnd()
+                       ? this->HomeWaitDeadline()
                        : kNever});
 }
 
@@ -240,7 +240,7 @@
                                   : ResultCode::kOutcomeUnknown,
                  now);
   } else if (this->stage == CallStage::kLookingUp &&
-             now >= this->PatienceWithHomeEnd()) {
+             now >= this->HomeWaitDeadline()) {
     this->GiveUp(ResultCode::kOutcomeUnknown, now);
   } else if (now >= this->look_up_at) {
     if (this->stage == CallStage::kAwaitingHome) {
--- a/src/entry/internal/call_machine.h
+++ b/src/entry/internal/call_machine.h
@@ -66,7 +66,7 @@
   void Claim(const EndpointId& home, Instant now);
   void Start(const EndpointId& home, const protocol::Once& bound, Instant now);
   bool AcceptsHome(const EndpointId& home, Instant now);
-  Instant PatienceWithHomeEnd() const;
+  Instant HomeWaitDeadline() const;
   void AwaitHome(const EndpointId& home,
                  const protocol::Once& bound,
                  Instant now);
--- a/src/entry/internal/endpoint_link.cc
+++ b/src/entry/internal/endpoint_link.cc
@@ -33,7 +33,7 @@
       SendToAgent{.endpoint = this->endpoint, .message = std::move(message)});
 }
 
-void EndpointLink::Want(Instant now) {
+void EndpointLink::Connect(Instant now) {
   if (this->state != LinkState::kIdle) {
     return;
   }
@@ -96,8 +96,8 @@
   this->failures = 0;
 }
 
-void EndpointLink::Extend(Instant sent_at, Duration told) {
-  this->lease = told > Duration::zero() ? told : this->lease;
+void EndpointLink::Extend(Instant sent_at, Duration granted_lease) {
+  this->lease = granted_lease > Duration::zero() ? granted_lease : this->lease;
   this->lease_until = std::max(this->lease_until, sent_at + this->lease);
 }
 
@@ -174,17 +174,17 @@
   }
   if (this->state == LinkState::kBackingOff) {
     this->state = LinkState::kIdle;
-    this->Want(now);
+    this->Connect(now);
     return false;
   }
   this->Drop(now);
   return false;
 }
 
-void EndpointLink::JudgeFrom(Instant judging_from) {
+void EndpointLink::DeferTimeouts(Instant no_timeout_before) {
   if (this->state == LinkState::kConnecting ||
       this->state == LinkState::kOpening) {
-    this->retry_at = std::max(this->retry_at, judging_from);
+    this->retry_at = std::max(this->retry_at, no_timeout_before);
   }
 }
 
--- a/src/entry/internal/endpoint_link.h
+++ b/src/entry/internal/endpoint_link.h
@@ -40,7 +40,7 @@
                std::vector<EntryAction>& action_list);
 
   // Connects when idle.
-  void Want(Instant now);
+  void Connect(Instant now);
   // Nobody needs the session any more: drops it.
   void Release(LogOffset manifest);
 
@@ -58,7 +58,7 @@
   bool OnTimer(LogOffset manifest, Instant now);
   Instant NextTimer() const;
   // A connection that is being opened is not given up before.
-  void JudgeFrom(Instant judging_from);
+  void DeferTimeouts(Instant no_timeout_before);
 
   // True when work may be sent: the session is open and its lease not lapsed.
   bool Usable(Instant now) const {
@@ -73,7 +73,7 @@
   void Send(protocol::EntryToAgent message);
   void Drop(Instant now);
   // Never makes the running lease shorter.
-  void Extend(Instant sent_at, Duration told);
+  void Extend(Instant sent_at, Duration granted_lease);
 
   EndpointId endpoint;
   const EntryOptions& options;
--- a/src/entry/internal/fleet.cc
+++ b/src/entry/internal/fleet.cc
@@ -41,11 +41,11 @@
 Fleet::Fleet(const EntryOptions& entry_options,
              RandomSource& random_source,
              std::vector<EntryAction>& action_list,
-             RoomHook on_room)
+             CapacityHook on_capacity_freed)
     : options(entry_options),
       random(random_source),
       actions(action_list),
-      room_hook(std::move(on_room)),
+      capacity_hook(std::move(on_capacity_freed)),
       working_set({.entry = entry_options.id,
                    .domain = entry_options.domain,
                    .size = entry_options.working_set}) {}
@@ -118,7 +118,7 @@
   std::vector<EndpointId> unneeded;
   for (auto& [id, member] : this->members) {
     if (member->wanted) {
-      member->link.Want(now);
+      member->link.Connect(now);
     } else if (member->attached.empty()) {
       member->link.Release(this->Offset());
       unneeded.push_back(id);
@@ -148,7 +148,7 @@
     }
   }
   if (pool.usable.size() > before) {
-    this->room_hook(pool.members.front()->record.service);
+    this->capacity_hook(pool.members.front()->record.service);
   }
 }
 
@@ -174,7 +174,7 @@
   }
 }
 
-void Fleet::Lose(Member& member) {
+void Fleet::LoseSession(Member& member) {
   for (const RequestId& request : member.attached) {
     this->lost.push_back({.request = request, .endpoint = member.record.id});
   }
@@ -190,7 +190,7 @@
   const bool open = member->link.State() == LinkState::kOpen;
   member->link.OnClosed(now);
   this->sessions_lost += open ? 1 : 0;
-  this->Lose(*member);
+  this->LoseSession(*member);
   this->Rearm(*member);
   this->DropUnneeded(*member);
 }
@@ -232,7 +232,7 @@
     this->NoteLoad(*member, *load, now);
   }
   if (TellsOfRoom(message)) {
-    this->room_hook(member->record.service);
+    this->capacity_hook(member->record.service);
   }
   this->Rearm(*member);
   return std::holds_alternative<protocol::Welcome>(message) ||
@@ -258,7 +258,7 @@
   if (renewal.newest && (renewal.leaving || stays)) {
     this->SetLeaving(*member, renewal.leaving, now);
   }
-  this->room_hook(member->record.service);
+  this->capacity_hook(member->record.service);
   this->Rearm(*member);
 }
 
@@ -278,7 +278,7 @@
     }
     if (member->link.OnTimer(this->Offset(), now)) {
       ++this->sessions_lost;
-      this->Lose(*member);
+      this->LoseSession(*member);
     }
     this->Rearm(*member);
     this->DropUnneeded(*member);
@@ -297,9 +297,9 @@
   }
 }
 
-void Fleet::JudgeFrom(Instant judging_from) {
+void Fleet::DeferTimeouts(Instant no_timeout_before) {
   for (const auto& [id, member] : this->members) {
-    member->link.JudgeFrom(judging_from);
+    member->link.DeferTimeouts(no_timeout_before);
     this->Rearm(*member);
   }
 }
@@ -375,7 +375,7 @@
   }
   if (member != nullptr) {
     member->attached.insert(request);
-    member->link.Want(now);
+    member->link.Connect(now);
     this->Rearm(*member);
   }
 }
--- a/src/entry/internal/fleet.h
+++ b/src/entry/internal/fleet.h
@@ -29,13 +29,14 @@
 // may get new work now. Not thread safe; `now` never goes backwards.
 class Fleet {
  public:
-  // `on_room`: a pool of the service may have room that it had not before.
-  using RoomHook = std::function<void(const ServiceName&)>;
+  // `on_capacity_freed`: a pool of the service may have room that it had not
+  // before.
+  using CapacityHook = std::function<void(const ServiceName&)>;
 
   Fleet(const EntryOptions& entry_options,
         RandomSource& random_source,
         std::vector<EntryAction>& action_list,
-        RoomHook on_room);
+        CapacityHook on_capacity_freed);
 
   // Connects to the working set of the newest manifest. Sessions outside it
   // last until no request needs them.
@@ -59,7 +60,7 @@
   Instant NextTimer() const;
   // This process stood still: no connection that is being opened is given up
   // before. Sessions lapse as ever, by their leases.
-  void JudgeFrom(Instant judging_from);
+  void DeferTimeouts(Instant no_timeout_before);
 
   // The requests that lost a session since the last call.
   std::vector<LostWork> TakeLost();
@@ -131,7 +132,7 @@
                 const protocol::EndpointLoad& load,
                 Instant now);
   void SetLeaving(Member& member, bool leaving, Instant now);
-  void Lose(Member& member);
+  void LoseSession(Member& member);
   void Rearm(const Member& member);
   void Sweep(Instant now);
   LogOffset Offset() const;
@@ -139,7 +140,7 @@
   const EntryOptions& options;
   RandomSource& random;
   std::vector<EntryAction>& actions;
-  RoomHook room_hook;
+  CapacityHook capacity_hook;
   std::shared_ptr<const manifest::Manifest> manifest;  // in force; or null
   placement::WorkingSet working_set;
   std::set<HostId> leaving_hosts;  // by the platform's list
--- a/src/entry/internal/generation_events.cc
+++ b/src/entry/internal/generation_events.cc
@@ -95,7 +95,7 @@
   this->decode.timeout_at = kNever;
   if (placement::EndpointView* const view =
           this->context.fleet.View(endpoint)) {
-    view->NoteRoundTrip(now - this->decode.asked_at);
+    view->NoteRoundTrip(now - this->decode.requested_at);
   }
   if (this->prefill.Idle() && this->splits_prefill &&
       reserved.available_in > Duration::zero()) {
@@ -125,7 +125,7 @@
   this->export_until = now + prefilled.lifetime;
   const double expected = std::max(Seconds(this->prefill_expected), 1e-4);
   this->context.fleet.NoteSuccess(
-      endpoint, Seconds(now - this->prefill.asked_at) / expected);
+      endpoint, Seconds(now - this->prefill.requested_at) / expected);
   this->service.prefill_picker.Learn(
       static_cast<double>(this->cached_expected),
       static_cast<double>(prefilled.usage.cached_tokens));
@@ -168,7 +168,7 @@
                                     expected);
   }
   this->EndStart();
-  this->service.NoteBegun(now);
+  this->service.NoteStarted(now);
 }
 
 bool GenerationMachine::Take(const EndpointId& endpoint,
@@ -344,18 +344,18 @@
 Instant GenerationMachine::WakeAt() const {
   if (this->state == RequestState::kWaiting) {
     return this->resuming ? this->terms.deadline
-                          : std::min(this->PatienceEnd(), this->LatestStart());
+                          : std::min(this->WaitDeadline(), this->LatestStart());
   }
   Instant at = std::min(this->terms.deadline,
-                        this->Judged(this->stream.ReaderStallsAt()));
+                        this->DeferTimeout(this->stream.ReaderStallsAt()));
   if (this->decode.stage == LegStage::kRunning) {
-    return std::min(at, this->Judged(this->stream.EngineStallsAt()));
+    return std::min(at, this->DeferTimeout(this->stream.EngineStallsAt()));
   }
   if (this->prefill.stage == LegStage::kReady) {
     at = std::min(at, this->export_until);
   }
-  return std::min({at, this->Judged(this->decode.timeout_at),
-                   this->Judged(this->prefill.timeout_at),
+  return std::min({at, this->DeferTimeout(this->decode.timeout_at),
+                   this->DeferTimeout(this->prefill.timeout_at),
                    this->reserve_again_at, this->prefill_at});
 }
 
@@ -365,12 +365,12 @@
                                     : ResultCode::kDeadlineExceeded,
                  now);
   } else if (this->state == RequestState::kWaiting) {
-    this->OnWaitOver(now);
-  } else if (now >= this->Judged(this->stream.ReaderStallsAt())) {
+    this->OnWaitEnded(now);
+  } else if (now >= this->DeferTimeout(this->stream.ReaderStallsAt())) {
     this->Fail(ResultCode::kSlowReader, protocol::Outcome::kUnknown,
                Duration::zero(), now);
   } else if (this->decode.stage == LegStage::kRunning) {
-    if (now >= this->Judged(this->stream.EngineStallsAt())) {
+    if (now >= this->DeferTimeout(this->stream.EngineStallsAt())) {
       this->context.fleet.NoteFailure(this->decode.endpoint, now);
       this->OnDecodeLost(ResultCode::kEngineFailed, now);
     }
@@ -381,13 +381,13 @@
 
 // Time passed while the legs are being started.
 void GenerationMachine::OnStartTimer(Instant now) {
-  if (now >= this->Judged(this->decode.timeout_at)) {
+  if (now >= this->DeferTimeout(this->decode.timeout_at)) {
     this->context.fleet.NoteFailure(this->decode.endpoint, now);
     this->EndLeg(this->decode, true, now);
     this->OnDecodeRefused(LegStage::kAsked, Duration::zero(), now);
     return;
   }
-  if (now >= this->Judged(this->prefill.timeout_at)) {
+  if (now >= this->DeferTimeout(this->prefill.timeout_at)) {
     this->context.fleet.NoteFailure(this->prefill.endpoint, now);
     this->OnPrefillLost(ResultCode::kEngineFailed, now);
     return;
@@ -401,7 +401,7 @@
   this->Advance(now);
 }
 
-void GenerationMachine::OnWaitOver(Instant now) {
+void GenerationMachine::OnWaitEnded(Instant now) {
   if (now < this->WakeAt()) {
     return;
   }
--- a/src/entry/internal/generation_forecast.cc
+++ b/src/entry/internal/generation_forecast.cc
@@ -79,7 +79,7 @@
   if (this->prefill.stage != LegStage::kAsked) {
     return Duration::zero();
   }
-  return std::max(this->prefill.asked_at + this->prefill_expected - now,
+  return std::max(this->prefill.requested_at + this->prefill_expected - now,
                   Duration::zero());
 }
 
--- a/src/entry/internal/generation_machine.cc
+++ b/src/entry/internal/generation_machine.cc
@@ -51,7 +51,7 @@
   leg.stage = LegStage::kAsked;
   leg.endpoint = endpoint;
   leg.attempt = this->Attempt(this->number);
-  leg.asked_at = now;
+  leg.requested_at = now;
   this->context.fleet.Attach(endpoint, this->terms.request, now);
 }
 
--- a/src/entry/internal/generation_machine.h
+++ b/src/entry/internal/generation_machine.h
@@ -31,7 +31,7 @@
   EndpointId endpoint;
   AttemptId attempt;
   AttemptNumber last_number;  // also of earlier tries of this side
-  Instant asked_at{};
+  Instant requested_at{};
   Instant timeout_at = kNever;
   std::vector<std::uint64_t> tried;  // keys of endpoints not to repeat
 
@@ -87,7 +87,7 @@
             Instant now);
   void OnDecodeRefused(LegStage stage, Duration hint, Instant now);
   void OnPrefillRefused(Duration hint, Instant now);
-  void OnWaitOver(Instant now);
+  void OnWaitEnded(Instant now);
   void OnStartTimer(Instant now);
   void OnDecodeLost(ResultCode code, Instant now);
   void OnPrefillLost(ResultCode code, Instant now);
--- a/src/entry/internal/log_once.cc
+++ b/src/entry/internal/log_once.cc
@@ -17,7 +17,7 @@
 
 once::CoordinatorOptions ClaimOptions(const LogOnce::Options& options) {
   once::CoordinatorOptions claims = options.claims;
-  claims.book.window = std::min(options.log_retention, kLongestWindow);
+  claims.table.window = std::min(options.log_retention, kLongestWindow);
   return claims;
 }
 
--- a/src/entry/internal/request_arrivals.cc
+++ b/src/entry/internal/request_arrivals.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-ResultCode RequestRouter::RefusalAtDoor() const {
+ResultCode RequestRouter::ArrivalRefusal() const {
   if (this->draining) {
     return ResultCode::kDraining;
   }
@@ -57,11 +57,11 @@
 
 void RequestRouter::OnGeneration(const GenerationArrived& arrived,
                                  Instant now) {
-  this->Begin(now);
-  const ResultCode refusal = this->RefusalAtDoor();
+  this->BeginInput(now);
+  const ResultCode refusal = this->ArrivalRefusal();
   if (refusal != ResultCode::kOk) {
     this->Refuse(arrived.request, refusal, kDoorAdvice);
-    this->Settle(now);
+    this->FinishInput(now);
     return;
   }
   auto terms = ArrivalRules::ForGeneration(arrived, this->manifest,
@@ -83,11 +83,11 @@
 }
 
 void RequestRouter::OnCall(const CallArrived& arrived, Instant now) {
-  this->Begin(now);
-  const ResultCode refusal = this->RefusalAtDoor();
+  this->BeginInput(now);
+  const ResultCode refusal = this->ArrivalRefusal();
   if (refusal != ResultCode::kOk) {
     this->Refuse(arrived.request, refusal, kDoorAdvice);
-    this->Settle(now);
+    this->FinishInput(now);
     return;
   }
   auto terms = ArrivalRules::ForCall(arrived, this->manifest,
@@ -126,8 +126,8 @@
   } else {
     this->Enqueue(added, true, now);
   }
-  this->After(added, now);
-  this->Settle(now);
+  this->OnMachineChanged(added, now);
+  this->FinishInput(now);
 }
 
 }  // namespace acacialug::entry
--- a/src/entry/internal/request_machine.cc
+++ b/src/entry/internal/request_machine.cc
@@ -23,7 +23,7 @@
           .entry = this->context.options.incarnation};
 }
 
-Instant RequestMachine::PatienceEnd() const {
+Instant RequestMachine::WaitDeadline() const {
   return std::min(this->terms.deadline,
                   this->terms.arrival + this->terms.latency_class->patience);
 }
--- a/src/entry/internal/request_machine.h
+++ b/src/entry/internal/request_machine.h
@@ -28,7 +28,7 @@
   EntryCounters& counters;
   RandomSource& random;
   std::vector<EntryAction>& actions;
-  const Instant& judging_from;  // moves when this process stood still
+  const Instant& no_timeout_before;  // moves when this process stood still
 };
 
 // What is fixed about a request from its arrival on; it keeps the manifest
@@ -103,11 +103,11 @@
     this->context.actions.push_back(std::move(action));
   }
   // When somebody who stays silent until `at` may be judged by it.
-  Instant Judged(Instant at) const {
-    return std::max(at, this->context.judging_from);
+  Instant DeferTimeout(Instant at) const {
+    return std::max(at, this->context.no_timeout_before);
   }
   // The last moment until which it may wait for its turn.
-  Instant PatienceEnd() const;
+  Instant WaitDeadline() const;
 
   RequestContext context;
   RequestTerms terms;
--- a/src/entry/internal/request_router.cc
+++ b/src/entry/internal/request_router.cc
@@ -13,7 +13,7 @@
 
 // While no endpoint has room, and none tells of any.
 constexpr Duration kNoPlacePause = 10ms;
-// See NoteOwnPause. The shortest silence that anybody is judged by is the
+// See NoteStall. The shortest silence that anybody is judged by is the
 // 300 ms of EntryOptions::reserve_timeout.
 constexpr Duration kOwnPause = 100ms;
 // One turn of the event loop, which reads the sockets before it rings.
@@ -66,7 +66,7 @@
               const auto found = this->services.find(service);
               if (found != this->services.end()) {
                 found->second->Unblock();
-                this->pumped.insert(service);
+                this->services_to_dispatch.insert(service);
               }
             }),
       budget({.share = this->options.retry_share,
@@ -81,7 +81,7 @@
           .counters = this->counters,
           .random = this->random,
           .actions = this->actions,
-          .judging_from = this->judging_from};
+          .no_timeout_before = this->no_timeout_before};
 }
 
 ServiceState& RequestRouter::StateOf(const manifest::Service& service) {
@@ -94,61 +94,61 @@
 
 void RequestRouter::OnManifest(std::shared_ptr<const manifest::Manifest> newest,
                                Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   if (newest && (!this->manifest || newest->offset > this->manifest->offset)) {
     this->manifest = std::move(newest);
     this->fleet.Apply(this->manifest, now);
   }
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 // ---- events ----
 
 void RequestRouter::OnCallerGone(RequestId request, Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   const auto found = this->machines.find(request);
   if (found != this->machines.end()) {
     found->second->Abandon(now);
-    this->After(*found->second, now);
+    this->OnMachineChanged(*found->second, now);
   }
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnDelivered(RequestId request,
                                 std::uint64_t index,
                                 Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   const auto found = this->machines.find(request);
   if (found != this->machines.end()) {
     found->second->OnDelivered(index, now);
-    this->After(*found->second, now);
+    this->OnMachineChanged(*found->second, now);
   }
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnEndpointConnected(const EndpointId& endpoint,
                                         Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   this->fleet.OnConnected(endpoint, now);
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnEndpointClosed(const EndpointId& endpoint, Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   this->fleet.OnClosed(endpoint, now);
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnMessage(const EndpointId& endpoint,
                               const protocol::AgentToEntry& message,
                               Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   if (!this->fleet.OnMessage(endpoint, message, now)) {
     const AttemptId& attempt = *AttemptOf(message);
     const auto found = this->machines.find(attempt.request);
     if (found != this->machines.end()) {
       found->second->OnMessage(endpoint, message, now);
-      this->After(*found->second, now);
+      this->OnMachineChanged(*found->second, now);
     } else {
       ++this->counters.dropped_frames;
       if (TellsOfHeld(message)) {
@@ -160,35 +160,35 @@
       this->fleet.Reopen(endpoint, now);
     }
   }
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnHeartbeat(const EndpointId& endpoint,
                                 const heartbeat::SessionRenewal& renewal,
                                 Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   this->fleet.OnHeartbeat(endpoint, renewal, now);
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnClaimsAppended(const ClaimsAppended& appended,
                                      Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   this->once->OnClaimsAppended(appended, now);
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnClaimsRead(const ClaimsRead& read, Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   this->once->OnClaimsRead(read, now);
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 Result<std::string> RequestRouter::IssueTicket(
     const ServiceName& service,
     std::chrono::milliseconds wall_clock,
     Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   if (!this->manifest) {
     return Error(ResultCode::kNotReady);
   }
@@ -208,9 +208,9 @@
 }
 
 void RequestRouter::OnLeavingHosts(const std::set<HostId>& hosts, Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   this->fleet.SetLeavingHosts(hosts);
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 void RequestRouter::OnLiveEntries(std::uint32_t entries, Instant now) {
@@ -223,8 +223,8 @@
 // A process that was paused for longer than a lease wakes up with sessions
 // that its agents gave up meanwhile; had it acted on an event first, it would
 // have started work on a reservation that another entry now holds.
-void RequestRouter::Begin(Instant now) {
-  this->NoteOwnPause(now);
+void RequestRouter::BeginInput(Instant now) {
+  this->NoteStall(now);
   this->fleet.OnTimer(now);
   this->TakeLostWork(now);
 }
@@ -233,12 +233,12 @@
   for (const LostWork& lost : this->fleet.TakeLost()) {
     const auto found = this->machines.find(lost.request);
     if (found != this->machines.end()) {
-      this->Tell({.request = lost.request,
-                  .progress = Progress::kEndpointLost,
-                  .endpoint = lost.endpoint,
-                  .at = now});
+      this->ReportProgress({.request = lost.request,
+                            .progress = Progress::kEndpointLost,
+                            .endpoint = lost.endpoint,
+                            .at = now});
       found->second->OnEndpointLost(lost.endpoint, now);
-      this->After(*found->second, now);
+      this->OnMachineChanged(*found->second, now);
     }
   }
 }
@@ -253,7 +253,7 @@
                               : dynamic_cast<CallMachine*>(found->second.get());
     if (machine != nullptr) {
       machine->OnVerdict(verdict, now);
-      this->After(*machine, now);
+      this->OnMachineChanged(*machine, now);
     }
   }
   for (EntryAction& action : this->once->TakeActions()) {
@@ -261,22 +261,22 @@
   }
 }
 
-void RequestRouter::Settle(Instant now) {
+void RequestRouter::FinishInput(Instant now) {
   this->TakeLostWork(now);
   this->TakeVerdicts(now);
-  while (!this->pumped.empty()) {
-    const ServiceName service = *this->pumped.begin();
-    this->pumped.erase(this->pumped.begin());
-    this->Pump(service, now);
+  while (!this->services_to_dispatch.empty()) {
+    const ServiceName service = *this->services_to_dispatch.begin();
+    this->services_to_dispatch.erase(this->services_to_dispatch.begin());
+    this->DispatchQueued(service, now);
     this->TakeVerdicts(now);
   }
 }
 
 // Keeps the queue, the timer and the table of requests in step with what a
 // machine has become.
-void RequestRouter::After(RequestMachine& machine, Instant now) {
+void RequestRouter::OnMachineChanged(RequestMachine& machine, Instant now) {
   const RequestId request = machine.Terms().request;
-  this->pumped.insert(machine.Terms().service->name);
+  this->services_to_dispatch.insert(machine.Terms().service->name);
   if (machine.State() == RequestState::kDone) {
     this->Erase(request);
     return;
@@ -299,7 +299,8 @@
   const RequestId request = machine.Terms().request;
   const manifest::LatencyClass& latency_class = *machine.Terms().latency_class;
   this->queued.insert(request);
-  this->Tell({.request = request, .progress = Progress::kQueued, .at = now});
+  this->ReportProgress(
+      {.request = request, .progress = Progress::kQueued, .at = now});
   if (machine.Resuming()) {
     machine.Service().PushResumed(request);
     return;
@@ -332,7 +333,7 @@
   this->machines.erase(found);
 }
 
-void RequestRouter::Pump(const ServiceName& name, Instant now) {
+void RequestRouter::DispatchQueued(const ServiceName& name, Instant now) {
   const auto service = this->services.find(name);
   if (service == this->services.end()) {
     return;
@@ -347,13 +348,13 @@
     RequestMachine& machine = *this->machines.at(*request);
     machine.Dispatch(now);
     if (machine.State() == RequestState::kActive) {
-      this->Tell(
+      this->ReportProgress(
           {.request = *request, .progress = Progress::kDispatched, .at = now});
     }
     if (machine.State() == RequestState::kWaiting && !state.Blocked(now)) {
       state.BlockUntil(now + kNoPlacePause);
     }
-    this->After(machine, now);
+    this->OnMachineChanged(machine, now);
   }
   this->unblocks.Arm(name, state.Queued() > 0 ? state.BlockedUntil() : kNever);
 }
@@ -366,21 +367,21 @@
 // than a loop's usual delay tells of it: the timers then wait until the sockets
 // were read, and nobody is judged by silence before this process has listened
 // again. Sessions still lapse at once, by their leases.
-void RequestRouter::NoteOwnPause(Instant now) {
+void RequestRouter::NoteStall(Instant now) {
   const Instant due = this->NextTimer();
   // Not again before somebody could be judged: a process whose timers are
   // always late would wait for a dead agent for ever.
-  const bool judged =
-      this->rung_at >= this->judging_from || due > this->judging_from;
+  const bool judged = this->fired_at >= this->no_timeout_before ||
+                      due > this->no_timeout_before;
   if (!judged || due == kNever || due == Instant{} || now - due < kOwnPause) {
     return;
   }
   this->timers_held_until = now + kReadingTime;
-  this->judging_from = now + kListeningTime;
-  this->fleet.JudgeFrom(this->judging_from);
+  this->no_timeout_before = now + kListeningTime;
+  this->fleet.DeferTimeouts(this->no_timeout_before);
 }
 
-void RequestRouter::Tell(const ProgressNote& note) const {
+void RequestRouter::ReportProgress(const ProgressNote& note) const {
   if (this->options.on_progress) {
     this->options.on_progress(note);
   }
@@ -388,27 +389,27 @@
 
 void RequestRouter::RunTimers(Instant now) {
   while (const auto service = this->unblocks.PopDue(now)) {
-    this->pumped.insert(*service);
+    this->services_to_dispatch.insert(*service);
   }
   if (now < this->timers_held_until) {
     return;
   }
-  this->rung_at = now;
+  this->fired_at = now;
   while (const auto request = this->timers.PopDue(now)) {
     const auto found = this->machines.find(*request);
     if (found == this->machines.end()) {
       continue;
     }
     found->second->OnTimer(now);
-    this->After(*found->second, now);
+    this->OnMachineChanged(*found->second, now);
   }
   this->once->OnTimer(now);
 }
 
 void RequestRouter::OnTimer(Instant now) {
-  this->Begin(now);
+  this->BeginInput(now);
   this->RunTimers(now);
-  this->Settle(now);
+  this->FinishInput(now);
 }
 
 Instant RequestRouter::NextTimer() const {
--- a/src/entry/internal/request_router.h
+++ b/src/entry/internal/request_router.h
@@ -68,7 +68,7 @@
   bool Admit(const RequestId& request,
              const Result<RequestTerms>& terms,
              Instant now);
-  ResultCode RefusalAtDoor() const;
+  ResultCode ArrivalRefusal() const;
   void Refuse(const RequestId& request, ResultCode code, Duration retry_after);
   void Add(std::unique_ptr<RequestMachine> machine, Instant now);
   ServiceState& StateOf(const manifest::Service& service);
@@ -76,23 +76,24 @@
 
   // ---- around each event ----
   // Gives up lapsed sessions before anything else is decided.
-  void Begin(Instant now);
+  void BeginInput(Instant now);
   // Brings about what the event made possible.
-  void Settle(Instant now);
+  void FinishInput(Instant now);
   void TakeLostWork(Instant now);
   void TakeVerdicts(Instant now);
-  void After(RequestMachine& machine, Instant now);
+  void OnMachineChanged(RequestMachine& machine, Instant now);
   void Enqueue(RequestMachine& machine, bool arrived, Instant now);
-  void Pump(const ServiceName& service, Instant now);
+  void DispatchQueued(const ServiceName& service, Instant now);
   void Erase(const RequestId& request);
   void RunTimers(Instant now);
-  void NoteOwnPause(Instant now);
-  void Tell(const ProgressNote& note) const;
+  void NoteStall(Instant now);
+  void ReportProgress(const ProgressNote& note) const;
 
   EntryOptions options;
   RandomSource& random;
   std::vector<EntryAction> actions;
-  std::set<ServiceName> pumped;  // services to look at in Settle
+  // Handled by FinishInput.
+  std::set<ServiceName> services_to_dispatch;
   Fleet fleet;
   retry::RetryBudget budget;
   EntryCounters counters;
@@ -105,8 +106,8 @@
   TimerSet<RequestId> timers;
   TimerSet<ServiceName> unblocks;
   Instant timers_held_until{};  // but for fleet's and unblocks
-  Instant judging_from{};       // nobody is judged by silence before
-  Instant rung_at{};            // the last time that timers were not held
+  Instant no_timeout_before{};  // nobody is judged by silence before
+  Instant fired_at{};           // the last time that timers were not held
   bool draining = false;
 };
 
--- a/src/entry/internal/service_state.cc
+++ b/src/entry/internal/service_state.cc
@@ -119,22 +119,23 @@
   return queued;
 }
 
-void ServiceState::NoteBegun(Instant now) {
+void ServiceState::NoteStarted(Instant now) {
   const bool queued_now = this->Queued() > 0;
-  if (queued_now && this->begun_while_queued) {
-    const Duration interval = std::min(now - this->begun_at, kLongestInterval);
-    this->begin_interval +=
-        this->begin_interval == Duration::zero()
+  if (queued_now && this->started_while_queued) {
+    const Duration interval =
+        std::min(now - this->last_start_at, kLongestInterval);
+    this->start_interval +=
+        this->start_interval == Duration::zero()
             ? interval
             : FromSeconds(kBeginWeight *
-                          Seconds(interval - this->begin_interval));
+                          Seconds(interval - this->start_interval));
   }
-  this->begun_while_queued = queued_now;
-  this->begun_at = now;
+  this->started_while_queued = queued_now;
+  this->last_start_at = now;
 }
 
 Duration ServiceState::QueueWait() const {
-  return static_cast<std::int64_t>(this->Queued()) * this->begin_interval;
+  return static_cast<std::int64_t>(this->Queued()) * this->start_interval;
 }
 
 Duration ServiceState::RetryAfter() const {
--- a/src/entry/internal/service_state.h
+++ b/src/entry/internal/service_state.h
@@ -53,7 +53,7 @@
   // ---- retry advice ----
 
   // A request of this service was answered, or at least begun.
-  void NoteBegun(Instant now);
+  void NoteStarted(Instant now);
   // How long one more would wait behind those that wait now, by the pace at
   // which waiting ones were begun lately; zero until that is known.
   Duration QueueWait() const;
@@ -78,9 +78,10 @@
   std::map<std::pair<std::int32_t, std::string>, admission::FairQueue> queues;
   std::deque<RequestId> resumed;
   Instant blocked_until{};
-  Instant begun_at{};
-  bool begun_while_queued = false;  // the last one; its successor gives a pace
-  Duration begin_interval{};
+  Instant last_start_at{};
+  // The last one; its successor gives a pace.
+  bool started_while_queued = false;
+  Duration start_interval{};
 };
 
 }  // namespace acacialug::entry
--- a/src/entry/tests/call_test.cc
+++ b/src/entry/tests/call_test.cc
@@ -25,7 +25,7 @@
 };
 
 void Answer(EntryDriver& driver, const AttemptId& attempt) {
-  driver.Tell(
+  driver.Deliver(
       driver.last_endpoint,
       protocol::CallAnswered{.attempt = attempt, .answer = {.status = 200}});
 }
@@ -34,9 +34,9 @@
 AttemptId LoseAndLookUp(EntryDriver& driver, std::uint64_t incarnation) {
   const std::string home = driver.last_endpoint;
   driver.Close(home);
-  driver.Pass(150ms);
+  driver.AdvanceBy(150ms);
   driver.Open(home, incarnation);
-  driver.Pass(200ms);
+  driver.AdvanceBy(200ms);
   return driver.Count<protocol::LookUp>() == 0
              ? AttemptId()
              : driver.Expect<protocol::LookUp>().attempt;
@@ -83,7 +83,7 @@
              {"it may not be repeated, and the home never comes back", "k",
               [](EntryDriver& driver, const protocol::StartCall&) {
                 driver.Close(driver.last_endpoint);
-                driver.Pass(6s);
+                driver.AdvanceBy(6s);
               },
               ResultCode::kOutcomeUnknown, Outcome::kUnknown},
              {"it may not be repeated, and fails with an unknown outcome", "k",
@@ -275,7 +275,7 @@
           ClaimedDriver driver;
           const OnceRun run = driver.Run();
           driver.Close(run.home.text);
-          driver.Pass(150ms);
+          driver.AdvanceBy(150ms);
           driver.Open(run.home.text, 8);
           driver.Decide(run);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
@@ -297,7 +297,7 @@
                                .deadline = 500ms},
                               driver.now);
           const OnceRun run = driver.Run();
-          driver.Pause(1500ms);
+          driver.Stall(1500ms);
           driver.once->verdicts.emplace_back(run);
           driver.core->OnClaimsRead({}, driver.now);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
@@ -313,7 +313,7 @@
           const auto first = driver.Expect<protocol::LookUp>();
           driver.Fail("s1", first.attempt, Phase::kCall,
                       ResultCode::kStillRunning);
-          driver.Pass(200ms);
+          driver.AdvanceBy(200ms);
           Answer(driver, driver.Expect<protocol::LookUp>().attempt);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Calls().size());
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
@@ -328,13 +328,13 @@
           // session was taken for one that is gone.
           {"which is waited for while its session is opened again", "s1", 7,
            [](EntryDriver& driver) {
-             driver.Pass(150ms);
+             driver.AdvanceBy(150ms);
              driver.Open("s1");
-             driver.Pass(100ms);
+             driver.AdvanceBy(100ms);
            },
            ResultCode::kOk, true},
           {"and has an unknown outcome when that does not come back", "s1", 7,
-           [](EntryDriver& driver) { driver.Pass(6s); },
+           [](EntryDriver& driver) { driver.AdvanceBy(6s); },
            ResultCode::kTicketInvalid, true},
           {"and has an unknown outcome when its agent was replaced", "s1", 6,
            [](EntryDriver&) {}, ResultCode::kTicketInvalid},
@@ -343,8 +343,8 @@
          [](const TicketUse& use) { return std::string(use.name); },
          [](const TicketUse& use) {
            ClaimedDriver driver;
-           driver.Tell("s1", protocol::Leaving{});
-           driver.Tell("s2", protocol::Leaving{});
+           driver.Deliver("s1", protocol::Leaving{});
+           driver.Deliver("s2", protocol::Leaving{});
            driver.request = driver.Call("POST", {}, "t");
            CPPUNIT_ASSERT_EQUAL(std::size_t{2},
                                 driver.once->submissions.size());
--- a/src/entry/tests/entry_driver.cc
+++ b/src/entry/tests/entry_driver.cc
@@ -73,12 +73,12 @@
 
 void EntryDriver::Open(const std::string& endpoint, std::uint64_t incarnation) {
   this->core->OnEndpointConnected(EndpointId(endpoint), this->now);
-  this->Tell(endpoint,
-             protocol::Welcome{.endpoint = EndpointId(endpoint),
-                               .incarnation = Incarnation(incarnation),
-                               .role = RoleOf(endpoint),
-                               .lease = 3s,
-                               .load = HealthyLoad()});
+  this->Deliver(endpoint,
+                protocol::Welcome{.endpoint = EndpointId(endpoint),
+                                  .incarnation = Incarnation(incarnation),
+                                  .role = RoleOf(endpoint),
+                                  .lease = 3s,
+                                  .load = HealthyLoad()});
 }
 
 void EntryDriver::OpenAll() {
@@ -115,8 +115,8 @@
   return request;
 }
 
-void EntryDriver::Tell(const std::string& endpoint,
-                       const protocol::AgentToEntry& message) {
+void EntryDriver::Deliver(const std::string& endpoint,
+                          const protocol::AgentToEntry& message) {
   this->core->OnMessage(EndpointId(endpoint), message, this->now);
 }
 
@@ -124,7 +124,7 @@
   this->core->OnEndpointClosed(EndpointId(endpoint), this->now);
 }
 
-void EntryDriver::Pass(Duration duration, bool renew) {
+void EntryDriver::AdvanceBy(Duration duration, bool renew) {
   const Instant end = this->now + duration;
   while (this->core->next_timer() <= end) {
     this->now = std::max(this->now, this->core->next_timer());
@@ -140,7 +140,7 @@
     });
     for (const EndpointId& endpoint : renewing) {
       if (renew) {
-        this->Tell(endpoint.text, protocol::Renewed{.load = HealthyLoad()});
+        this->Deliver(endpoint.text, protocol::Renewed{.load = HealthyLoad()});
       }
     }
   }
@@ -149,25 +149,25 @@
 
 AttemptId EntryDriver::Reserve(std::string* decode, Duration available_in) {
   const auto reserve = this->Expect<protocol::Reserve>(decode);
-  this->Tell(this->last_endpoint,
-             protocol::Reserved{.attempt = reserve.attempt,
-                                .available_in = available_in,
-                                .load = HealthyLoad()});
+  this->Deliver(this->last_endpoint,
+                protocol::Reserved{.attempt = reserve.attempt,
+                                   .available_in = available_in,
+                                   .load = HealthyLoad()});
   return reserve.attempt;
 }
 
 AttemptId EntryDriver::Prefill(std::string* prefill, Duration lifetime) {
   const auto start = this->Expect<protocol::StartPrefill>(prefill);
-  this->Tell(this->last_endpoint,
-             protocol::Prefilled{
-                 .attempt = start.attempt,
-                 .kv = {.prefill_endpoint = EndpointId(this->last_endpoint),
-                        .transfer_params = "{}",
-                        .tokens = 100,
-                        .bytes = 1000},
-                 .usage = {.prompt_tokens = 100},
-                 .lifetime = lifetime,
-                 .load = HealthyLoad()});
+  this->Deliver(this->last_endpoint,
+                protocol::Prefilled{
+                    .attempt = start.attempt,
+                    .kv = {.prefill_endpoint = EndpointId(this->last_endpoint),
+                           .transfer_params = "{}",
+                           .tokens = 100,
+                           .bytes = 1000},
+                    .usage = {.prompt_tokens = 100},
+                    .lifetime = lifetime,
+                    .load = HealthyLoad()});
   return start.attempt;
 }
 
@@ -187,10 +187,10 @@
                          const AttemptId& attempt,
                          protocol::Phase phase,
                          ResultCode code) {
-  this->Tell(endpoint, protocol::Refused{.attempt = attempt,
-                                         .phase = phase,
-                                         .code = code,
-                                         .load = HealthyLoad()});
+  this->Deliver(endpoint, protocol::Refused{.attempt = attempt,
+                                            .phase = phase,
+                                            .code = code,
+                                            .load = HealthyLoad()});
 }
 
 void EntryDriver::Fail(const std::string& endpoint,
@@ -198,29 +198,29 @@
                        protocol::Phase phase,
                        ResultCode code,
                        protocol::Outcome outcome) {
-  this->Tell(endpoint, protocol::Failed{.attempt = attempt,
-                                        .phase = phase,
-                                        .code = code,
-                                        .outcome = outcome,
-                                        .load = HealthyLoad()});
+  this->Deliver(endpoint, protocol::Failed{.attempt = attempt,
+                                           .phase = phase,
+                                           .code = code,
+                                           .outcome = outcome,
+                                           .load = HealthyLoad()});
 }
 
 void EntryDriver::Chunk(const std::string& endpoint,
                         const AttemptId& attempt,
                         std::uint64_t sequence,
                         const std::string& text) {
-  this->Tell(endpoint, protocol::Chunk{.attempt = attempt,
-                                       .sequence = SequenceNumber(sequence),
-                                       .tokens = 1,
-                                       .text = text});
+  this->Deliver(endpoint, protocol::Chunk{.attempt = attempt,
+                                          .sequence = SequenceNumber(sequence),
+                                          .tokens = 1,
+                                          .text = text});
 }
 
 void EntryDriver::End(const std::string& endpoint,
                       const AttemptId& attempt,
                       std::uint64_t chunks) {
-  this->Tell(endpoint, protocol::Ended{.attempt = attempt,
-                                       .chunks = SequenceNumber(chunks),
-                                       .load = HealthyLoad()});
+  this->Deliver(endpoint, protocol::Ended{.attempt = attempt,
+                                          .chunks = SequenceNumber(chunks),
+                                          .load = HealthyLoad()});
 }
 
 void EntryDriver::Collect() {
--- a/src/entry/tests/entry_driver.h
+++ b/src/entry/tests/entry_driver.h
@@ -35,12 +35,13 @@
                  const std::string& idempotency_key = {},
                  const std::string& ticket = {});
 
-  void Tell(const std::string& endpoint, const protocol::AgentToEntry& message);
+  void Deliver(const std::string& endpoint,
+               const protocol::AgentToEntry& message);
   void Close(const std::string& endpoint);
   // Moves time on, running the core's timers on the way; agents renew.
-  void Pass(Duration duration, bool renew = true);
+  void AdvanceBy(Duration duration, bool renew = true);
   // Jumps over a pause of the process: no timer runs inside it.
-  void Pause(Duration duration) { this->now += duration; }
+  void Stall(Duration duration) { this->now += duration; }
 
   // Takes the oldest message of that type not yet looked at; fails if there
   // is none. Messages before it stay.
