--- a/src/entry/tests/generation_test.cc
+++ b/src/entry/tests/generation_test.cc
@@ -55,10 +55,10 @@
           ReadyDriver driver;
           driver.Generate();
           driver.Reserve(nullptr, 500ms);
-          driver.Pass(400ms);
+          driver.AdvanceBy(400ms);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::StartPrefill>());
-          driver.Pass(100ms);
+          driver.AdvanceBy(100ms);
           driver.Prefill();
         }),
      // Symptom: reservations and refusals outnumber requests by hundreds under
@@ -70,15 +70,16 @@
           driver.Generate();
           for (int count = 0; count < 2; ++count) {
             const auto reserve = driver.Expect<protocol::Reserve>();
-            driver.Tell(driver.last_endpoint,
-                        protocol::Refused{.attempt = reserve.attempt,
-                                          .code = ResultCode::kNoDecodeMemory,
-                                          .retry_after = 300ms});
+            driver.Deliver(
+                driver.last_endpoint,
+                protocol::Refused{.attempt = reserve.attempt,
+                                  .code = ResultCode::kNoDecodeMemory,
+                                  .retry_after = 300ms});
           }
-          driver.Pass(290ms);
+          driver.AdvanceBy(290ms);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::Reserve>());
-          driver.Pass(100ms);
+          driver.AdvanceBy(100ms);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                driver.Count<protocol::Reserve>());
         }),
@@ -126,11 +127,11 @@
              [](EntryDriver& driver) {
                std::string first;
                const auto reserve = driver.Expect<protocol::Reserve>(&first);
-               driver.Pass(300ms);
+               driver.AdvanceBy(300ms);
                CPPUNIT_ASSERT(driver.Expect<protocol::Cancel>().attempt ==
                               reserve.attempt);
-               driver.Tell(first,
-                           protocol::Reserved{.attempt = reserve.attempt});
+               driver.Deliver(first,
+                              protocol::Reserved{.attempt = reserve.attempt});
                driver.Expect<protocol::Cancel>();
                CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                     driver.Count<protocol::StartPrefill>());
@@ -177,11 +178,11 @@
                driver.Close(first);
                const auto reserve = driver.Expect<protocol::Reserve>();
                CPPUNIT_ASSERT(reserve.prefill_ready_in > Duration::zero());
-               driver.Tell(driver.last_endpoint,
-                           protocol::Reserved{.attempt = reserve.attempt});
-               driver.Tell(prefill,
-                           protocol::Prefilled{.attempt = start.attempt,
-                                               .lifetime = 800ms});
+               driver.Deliver(driver.last_endpoint,
+                              protocol::Reserved{.attempt = reserve.attempt});
+               driver.Deliver(prefill,
+                              protocol::Prefilled{.attempt = start.attempt,
+                                                  .lifetime = 800ms});
              }},
             // Symptom: a finished prefill is evicted beside a link that comes
             // free. Sequence: the link refuses until long after the export's
@@ -195,12 +196,12 @@
                driver.Decode();
                driver.Close(first);
                const auto reserve = driver.Expect<protocol::Reserve>();
-               driver.Tell(driver.last_endpoint,
-                           protocol::Refused{.attempt = reserve.attempt,
-                                             .phase = Phase::kReserve,
-                                             .code = ResultCode::kLinkBusy,
-                                             .retry_after = 2s});
-               driver.Pass(60ms);
+               driver.Deliver(driver.last_endpoint,
+                              protocol::Refused{.attempt = reserve.attempt,
+                                                .phase = Phase::kReserve,
+                                                .code = ResultCode::kLinkBusy,
+                                                .retry_after = 2s});
+               driver.AdvanceBy(60ms);
                driver.Reserve();
              }},
             {"its reservation is lost after the prefill",
@@ -253,8 +254,8 @@
                driver.Decode();
                driver.Close(first);
                driver.Expect<protocol::Reserve>();
-               driver.Pass(110ms);  // no answer; the export is gone
-               driver.Pass(300ms);
+               driver.AdvanceBy(110ms);  // no answer; the export is gone
+               driver.AdvanceBy(300ms);
                driver.Reserve();
                driver.Prefill();
              }},
@@ -289,7 +290,7 @@
              }},
             {"its engine stalls",
              [](EntryDriver& driver) {
-               driver.Pass(5s);
+               driver.AdvanceBy(5s);
                driver.Expect<protocol::Cancel>();
              }},
             // Symptom: an answer lacks a piece in its middle. Sequence: one
@@ -300,7 +301,7 @@
                driver.Chunk(driver.last_endpoint, driver.last_attempt, 2, "c");
                driver.End(driver.last_endpoint, driver.last_attempt, 3);
                CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.Ends());
-               driver.Pass(5s);
+               driver.AdvanceBy(5s);
              }},
             {"late frames of the lost attempt arrive",
              [](EntryDriver& driver) {
@@ -325,7 +326,7 @@
           CPPUNIT_ASSERT_EQUAL(std::string("one "),
                                start.generation.resumed_text);
           CPPUNIT_ASSERT_EQUAL(7U, start.generation.max_tokens);
-          driver.Tell(
+          driver.Deliver(
               driver.last_endpoint,
               protocol::Prefilled{.attempt = start.attempt, .lifetime = 800ms});
           const AttemptId attempt = driver.Decode(&decode);
@@ -360,7 +361,7 @@
            std::string decode;
            const AttemptId attempt = driver.Decode(&decode);
            driver.Chunk(decode, attempt, 0, "one ");
-           driver.Pass(200ms);
+           driver.AdvanceBy(200ms);
            driver.OpenAll();
            driver.Close(decode);
            driver.Reserve();
@@ -421,7 +422,7 @@
              [](EntryDriver& driver) {
                std::string decode;
                driver.Stream(&decode, "one");
-               driver.Pass(5s);
+               driver.AdvanceBy(5s);
              },
              ResultCode::kSlowReader,
              Outcome::kUnknown},
@@ -434,7 +435,7 @@
                    driver.Refuse(driver.last_endpoint, reserve.attempt,
                                  Phase::kReserve, ResultCode::kNoDecodeMemory);
                  }
-                 driver.Pass(10ms);
+                 driver.AdvanceBy(10ms);
                }
                CPPUNIT_ASSERT(driver.now < Instant(1h) + 2s);
              },
@@ -446,7 +447,7 @@
                for (const char* endpoint : {"d1", "d2", "p1", "p2"}) {
                  driver.Close(endpoint);
                }
-               driver.Pass(2s);
+               driver.AdvanceBy(2s);
              },
              ResultCode::kNoEndpoint,
              Outcome::kNotRun},
@@ -455,7 +456,7 @@
              [](EntryDriver& driver) {
                std::string decode;
                driver.Stream(&decode, "one");
-               driver.Pass(120s);
+               driver.AdvanceBy(120s);
              },
              ResultCode::kDeadlineExceeded,
              Outcome::kUnknown},
@@ -488,11 +489,11 @@
        driver.Generate();
        std::string decode;
        const AttemptId attempt = driver.Reserve(&decode);
-       driver.Tell(decode, protocol::Reserved{.attempt = attempt});
+       driver.Deliver(decode, protocol::Reserved{.attempt = attempt});
        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.Count<protocol::Cancel>());
        AttemptId other = attempt;
        other.attempt = AttemptNumber(attempt.attempt.value + 9);
-       driver.Tell(decode, protocol::Reserved{.attempt = other});
+       driver.Deliver(decode, protocol::Reserved{.attempt = other});
        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Count<protocol::Cancel>());
      })});
 
--- a/src/entry/tests/log_once_test.cc
+++ b/src/entry/tests/log_once_test.cc
@@ -31,7 +31,7 @@
       : log(shared_log),
         random(seed),
         once({.wall_clock = [this] { return this->wall; }}, this->random) {
-    this->Pass({});
+    this->AdvanceBy({});
   }
 
   // Time passes, by both clocks.
@@ -43,7 +43,7 @@
   // True when the submission was let run.
   bool Runs(const OnceSubmission& submission) {
     this->once.Submit(submission, this->now);
-    this->Pass(20ms);
+    this->AdvanceBy(20ms);
     CPPUNIT_ASSERT(!this->verdicts.empty());
     return std::holds_alternative<OnceRun>(this->verdicts.back());
   }
@@ -60,7 +60,7 @@
   }
 
   // Carries out what the coordinator asks of the log, until it asks nothing.
-  void Pass(Duration time) {
+  void AdvanceBy(Duration time) {
     this->now += time;
     this->once.OnTimer(this->now);
     for (std::vector<EntryAction> actions = this->once.TakeActions();
@@ -141,7 +141,7 @@
            CPPUNIT_ASSERT(entry.Runs(entry.Submission("s1")));
            entry.Sleep(row.after);
            log.emplace_back("another's record");
-           entry.Pass({});
+           entry.AdvanceBy({});
            entry.wall += row.at_second - row.at_first;
            CPPUNIT_ASSERT(!entry.Runs(entry.Submission("s2")));
          }),
@@ -195,17 +195,17 @@
           Entry second(log, 2);
           first.once.Submit(first.Submission("s1"), first.now);
           second.once.Submit(second.Submission("s2"), second.now);
-          first.Pass(20ms);
-          second.Pass(20ms);
+          first.AdvanceBy(20ms);
+          second.AdvanceBy(20ms);
           CPPUNIT_ASSERT(EndpointId("s1") == first.Last<OnceRun>().home);
           CPPUNIT_ASSERT(EndpointId("s1") == second.Last<OnceLookUp>().home);
           // The home sealed the key: the second entry may now move it, and
           // the first, whose dispatch was refused, then finds it moved.
           second.once.OnRefused(second.Submission("s2"), second.now);
-          second.Pass(20ms);
+          second.AdvanceBy(20ms);
           CPPUNIT_ASSERT(EndpointId("s2") == second.Last<OnceRun>().home);
           first.once.OnRefused(first.Submission("s3"), first.now);
-          first.Pass(20ms);
+          first.AdvanceBy(20ms);
           CPPUNIT_ASSERT(EndpointId("s2") == first.Last<OnceLookUp>().home);
         }),
      It("refuses a key as not run while the log is out, and runs a ticket",
@@ -214,7 +214,7 @@
           Entry entry(log, 1);
           entry.log_out = true;
           entry.once.Submit(entry.Submission("s1"), entry.now);
-          entry.Pass(20ms);
+          entry.AdvanceBy(20ms);
           CPPUNIT_ASSERT(ResultCode::kLogUnavailable ==
                          entry.Last<OnceRefuse>().code);
           OnceSubmission ticketed = entry.Submission("s1", "");
@@ -222,7 +222,7 @@
               {.endpoint = EndpointId("s2"), .agent = Incarnation(9)}, kKeyTime,
               entry.random));
           entry.once.Submit(ticketed, entry.now);
-          entry.Pass({});
+          entry.AdvanceBy({});
           CPPUNIT_ASSERT(EndpointId("s2") == entry.Last<OnceRun>().home);
           CPPUNIT_ASSERT(Incarnation(9) == entry.Last<OnceRun>().once.home);
         }),
@@ -232,8 +232,8 @@
           Entry entry(log, 1);
           entry.once.Submit(entry.Submission("s1"), entry.now);
           entry.once.Withdraw({.high = 1, .low = 2}, entry.now);
-          entry.Pass(20ms);
-          entry.Pass(5s);
+          entry.AdvanceBy(20ms);
+          entry.AdvanceBy(5s);
           CPPUNIT_ASSERT(entry.verdicts.empty());
         }),
      ForEach<std::pair<std::string, ResultCode>>(
@@ -245,7 +245,7 @@
            std::vector<std::string> log;
            Entry entry(log, 1);
            entry.once.Submit(entry.Submission("s1", row.first), entry.now);
-           entry.Pass({});
+           entry.AdvanceBy({});
            CPPUNIT_ASSERT(row.second == entry.Last<OnceRefuse>().code);
          })});
 
--- a/src/entry/tests/sessions_test.cc
+++ b/src/entry/tests/sessions_test.cc
@@ -42,10 +42,10 @@
     {It("is renewed, and lost when the agent stops answering",
         [] {
           ReadyDriver driver;
-          driver.Pass(10s);
+          driver.AdvanceBy(10s);
           driver.Generate();
           driver.Reserve();  // open still
-          driver.Pass(4s, false);
+          driver.AdvanceBy(4s, false);
           driver.Generate();
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::Reserve>());
@@ -63,9 +63,9 @@
           ReadyDriver driver;
           driver.Generate();
           const auto reserve = driver.Expect<protocol::Reserve>();
-          driver.Pause(3s);
-          driver.Tell(driver.last_endpoint,
-                      protocol::Reserved{.attempt = reserve.attempt});
+          driver.Stall(3s);
+          driver.Deliver(driver.last_endpoint,
+                         protocol::Reserved{.attempt = reserve.attempt});
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::StartPrefill>());
         }),
@@ -80,12 +80,12 @@
           const AttemptId attempt = driver.Stream(&decode, "one ");
           driver.core->OnDelivered(request, 0, driver.now);
           driver.Expect<protocol::Cancel>();
-          driver.Pass(500ms);
-          driver.Pause(2s);
+          driver.AdvanceBy(500ms);
+          driver.Stall(2s);
           driver.core->OnTimer(driver.now);
           driver.Chunk(decode, attempt, 1, "two");
           driver.core->OnDelivered(request, 1, driver.now);
-          driver.Pass(200ms);
+          driver.AdvanceBy(200ms);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::Cancel>());
           driver.End(decode, attempt, 2);
@@ -96,7 +96,7 @@
           ReadyDriver driver;
           for (int beat = 0; beat < 20; ++beat) {
             Beat(driver, driver.now);
-            driver.Pass(1s, false);
+            driver.AdvanceBy(1s, false);
           }
           driver.Generate();
           driver.Reserve();
@@ -110,9 +110,9 @@
         [] {
           ReadyDriver driver;
           Beat(driver, driver.now);
-          driver.Pass(1400ms, false);
+          driver.AdvanceBy(1400ms, false);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.Count<protocol::Renew>());
-          driver.Pass(10s);
+          driver.AdvanceBy(10s);
           driver.Generate();
           driver.Reserve();
         }),
@@ -132,7 +132,7 @@
          [](const BeatRow& row) {
            ReadyDriver driver;
            const Instant opened = driver.now;
-           driver.Pass(2s, false);
+           driver.AdvanceBy(2s, false);
            Beat(driver, driver.now, row.change);
            driver.now = opened + 3s;
            driver.Generate();
@@ -146,7 +146,7 @@
         [] {
           ReadyDriver driver;
           const Instant sent_at = driver.now;
-          driver.Pause(3s);
+          driver.Stall(3s);
           Beat(driver, sent_at);
           Beat(driver, driver.now);
           driver.Generate();
@@ -158,7 +158,7 @@
           ReadyDriver driver;
           Beat(driver, driver.now,
                [](heartbeat::SessionRenewal& renewal) { renewal.lease = 30s; });
-          driver.Pass(14s, false);
+          driver.AdvanceBy(14s, false);
           driver.Generate();
           driver.Reserve();
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.Count<protocol::Renew>());
@@ -176,16 +176,16 @@
                                                   .limit = 20};
           };
           const Instant sent_at = driver.now;
-          driver.Pass(10ms);
-          driver.Tell("d1", protocol::Leaving{});
+          driver.AdvanceBy(10ms);
+          driver.Deliver("d1", protocol::Leaving{});
           Beat(driver, sent_at, stays);
           driver.Generate();
           std::string decode;
           driver.Reserve(&decode);
           CPPUNIT_ASSERT_EQUAL(std::string("d2"), decode);
-          driver.Pass(10ms);
-          driver.Tell("d2", protocol::Leaving{});
-          driver.Pass(10ms);
+          driver.AdvanceBy(10ms);
+          driver.Deliver("d2", protocol::Leaving{});
+          driver.AdvanceBy(10ms);
           Beat(driver, driver.now, stays);  // both came back
           driver.Generate();
           driver.Reserve();
@@ -236,7 +236,7 @@
         }),
      It("with an endpoint that is leaving gets no new work", [] {
        ReadyDriver driver;
-       driver.Tell("d1", protocol::Leaving{});
+       driver.Deliver("d1", protocol::Leaving{});
        for (int round = 0; round < 4; ++round) {
          driver.Generate();
          std::string decode;
@@ -354,7 +354,7 @@
           next.services.clear();
           next.endpoints.clear();
           driver.Apply(next);
-          driver.Pass(3s);
+          driver.AdvanceBy(3s);
           driver.Generate();  // under the new one: there is no such model
           driver.End(decode, attempt, 1);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Ends());
--- a/src/entry/tests/standstill_test.cc
+++ b/src/entry/tests/standstill_test.cc
@@ -31,7 +31,7 @@
 
 // The process stands still, and its timers are the first to run again.
 void StandStill(EntryDriver& driver, Duration length) {
-  driver.Pause(length);
+  driver.Stall(length);
   driver.core->OnTimer(driver.now);
 }
 
@@ -52,7 +52,7 @@
         }}) {
     this->core->OnTimer(this->now);
     this->Read({});
-    this->Pass(1s);
+    this->AdvanceBy(1s);
   }
 
   void Read(const std::vector<std::string>& records) {
@@ -96,8 +96,9 @@
            const auto reserve = driver.Expect<protocol::Reserve>();
            const std::string decode = driver.last_endpoint;
            StandStill(driver, row.length);
-           driver.Pass(kSocketsRead);
-           driver.Tell(decode, protocol::Reserved{.attempt = reserve.attempt});
+           driver.AdvanceBy(kSocketsRead);
+           driver.Deliver(decode,
+                          protocol::Reserved{.attempt = reserve.attempt});
            CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                 driver.Count<protocol::Cancel>());
            CPPUNIT_ASSERT_EQUAL(std::size_t{0},
@@ -115,9 +116,9 @@
            const auto start = driver.Expect<protocol::StartPrefill>();
            const std::string prefill = driver.last_endpoint;
            StandStill(driver, row.length);
-           driver.Pass(kSocketsRead);
-           driver.Tell(prefill, protocol::Prefilled{.attempt = start.attempt,
-                                                    .lifetime = 800ms});
+           driver.AdvanceBy(kSocketsRead);
+           driver.Deliver(prefill, protocol::Prefilled{.attempt = start.attempt,
+                                                       .lifetime = 800ms});
            CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                 driver.Count<protocol::Cancel>());
            driver.Decode();
@@ -135,7 +136,7 @@
            driver.core->OnDelivered(request, 0, driver.now);
            driver.Expect<protocol::Cancel>();  // the export may go
            StandStill(driver, row.length);
-           driver.Pass(kSocketsRead);
+           driver.AdvanceBy(kSocketsRead);
            driver.Chunk(decode, attempt, 1, "two");
            driver.core->OnDelivered(request, 1, driver.now);
            driver.End(decode, attempt, 2);
@@ -179,13 +180,13 @@
           }
           StandStill(driver, 3500ms);
           for (const char* const endpoint : {"p1", "d1"}) {
-            driver.Tell(endpoint,
-                        protocol::Welcome{.endpoint = EndpointId(endpoint),
-                                          .incarnation = Incarnation(7),
-                                          .lease = 10s,
-                                          .load = {.free_kv_tokens = 100000,
-                                                   .total_kv_tokens = 100000,
-                                                   .limit = 20}});
+            driver.Deliver(endpoint,
+                           protocol::Welcome{.endpoint = EndpointId(endpoint),
+                                             .incarnation = Incarnation(7),
+                                             .lease = 10s,
+                                             .load = {.free_kv_tokens = 100000,
+                                                      .total_kv_tokens = 100000,
+                                                      .limit = 20}});
           }
           driver.Generate();
           driver.Reserve();
@@ -201,9 +202,9 @@
           const std::string home = driver.last_endpoint;
           driver.Close(home);
           StandStill(driver, 5500ms);
-          driver.Pass(500ms, false);
+          driver.AdvanceBy(500ms, false);
           driver.Open(home);
-          driver.Pass(300ms);
+          driver.AdvanceBy(300ms);
           CPPUNIT_ASSERT(driver.Errors().empty());
           CPPUNIT_ASSERT(driver.Expect<protocol::LookUp>().once.key_low ==
                          start.once.key_low);
@@ -215,7 +216,7 @@
           driver.Expect<protocol::StartCall>();
           driver.Close(driver.last_endpoint);
           StandStill(driver, 5500ms);
-          driver.Pass(2s, false);
+          driver.AdvanceBy(2s, false);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Errors().size());
         }),
      // A first standstill must not use up the patience for the next.
@@ -226,13 +227,14 @@
           driver.Generate();
           StandStill(driver, 400ms);
           driver.Reserve();
-          driver.Pass(250ms);
+          driver.AdvanceBy(250ms);
           driver.Generate();
           const auto reserve = driver.Expect<protocol::Reserve>();
           const std::string decode = driver.last_endpoint;
           StandStill(driver, 400ms);
-          driver.Pass(kSocketsRead);
-          driver.Tell(decode, protocol::Reserved{.attempt = reserve.attempt});
+          driver.AdvanceBy(kSocketsRead);
+          driver.Deliver(decode,
+                         protocol::Reserved{.attempt = reserve.attempt});
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::Cancel>());
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
@@ -244,7 +246,7 @@
           driver.Generate();
           driver.Expect<protocol::Reserve>();
           StandStill(driver, 900ms);
-          driver.Pass(300ms);
+          driver.AdvanceBy(300ms);
           driver.Expect<protocol::Cancel>();
           driver.Expect<protocol::Reserve>();
         }),
@@ -278,7 +280,7 @@
           driver.Expect<protocol::StartCall>();
           StandStill(driver, 700ms);
           CPPUNIT_ASSERT(driver.Errors().empty());
-          driver.Pass(kSocketsRead);
+          driver.AdvanceBy(kSocketsRead);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Errors().size());
         })});
 
--- a/src/gateway_process/gateway_process.cc
+++ b/src/gateway_process/gateway_process.cc
@@ -114,10 +114,10 @@
 
   void NoteStoreRead() { this->peers.NoteStoreRead(); }
   bool PeersReadStore() { return this->peers.PeersReadStore(); }
-  std::size_t peers_heard() const { return this->heard; }
+  std::size_t live_peers() const { return this->live_peer_count; }
 
-  void SetCrash(const retry::CrashRecord& told) {
-    this->core.SetPeerCrash(told);
+  void SetCrash(const retry::CrashRecord& report) {
+    this->core.SetPeerCrash(report);
   }
 
   void SetMembers(const std::map<std::string, http::Address>& members) {
@@ -172,11 +172,10 @@
         .wake_at = [this](Instant at) { this->WakeAt(at); },
         .on_stall =
             [this](Duration up_to) {
-              this->registry.Get(kGatewayStandstillSeconds)
-                  .Record(Seconds(up_to));
+              this->registry.Get(kGatewayStallSeconds).Record(Seconds(up_to));
             },
         .on_load_changed = [this] { this->peers.OnLoadChanged(); },
-        .on_pauses_changed = [this] { this->peers.TellPauses(); },
+        .on_pauses_changed = [this] { this->peers.ReportPauses(); },
         .acquire_term = this->options.acquire_term,
         .on_quarantine = this->options.on_quarantine,
         .log =
@@ -222,32 +221,35 @@
         .next_forecast = [this] { return this->core.NextForecast(); },
         .on_forecast =
             [this](const std::string& peer,
-                   const forecast::ForecastReport& told) {
-              this->core.SetPeerForecast(peer, told);
+                   const forecast::ForecastReport& report) {
+              this->core.SetPeerForecast(peer, report);
             },
-        .tell_crashes =
-            [this](std::size_t most, std::size_t round) {
-              return this->core.CollectCrashReports(most, round);
+        .collect_crash_reports =
+            [this](std::size_t max_count, std::size_t round) {
+              return this->core.CollectCrashReports(max_count, round);
             },
         .on_crash =
-            [this](const retry::CrashRecord& told) { this->SetCrash(told); },
-        .on_newcomer = [this] { this->core.ResendCrashReports(); },
-        .tell_quotas =
-            [this](std::size_t group, std::size_t most) {
-              return this->core.CollectQuotaReports(group, most);
+            [this](const retry::CrashRecord& report) {
+              this->SetCrash(report);
             },
-        .on_heard =
+        .on_new_peer = [this] { this->core.ResendCrashReports(); },
+        .collect_quota_reports =
+            [this](std::size_t group, std::size_t max_count) {
+              return this->core.CollectQuotaReports(group, max_count);
+            },
+        .on_heartbeat =
             [this](const std::string& peer, Incarnation incarnation,
-                   const std::vector<quota::QuotaUse>& told) {
-              this->core.OnPeerHeartbeat(peer, incarnation, told);
+                   const std::vector<quota::QuotaUse>& report) {
+              this->core.OnPeerHeartbeat(peer, incarnation, report);
             },
         .on_listed =
             [this](const std::string& peer) { this->core.OnPeerListed(peer); },
         .on_peer_count =
-            [this](std::size_t heard, std::size_t known, bool first) {
+            [this](std::size_t live_peer_count, std::size_t known, bool first) {
               this->core.SetPeers(known, first);
-              this->heard = heard;
-              this->registry.Get(kGatewayPeers).Set(static_cast<double>(heard));
+              this->live_peer_count = live_peer_count;
+              this->registry.Get(kGatewayPeers)
+                  .Set(static_cast<double>(live_peer_count));
             },
         .on_catalog =
             [this](const Catalog& catalog) {
@@ -438,7 +440,7 @@
   std::unique_ptr<http::Server> readiness;
   std::unique_ptr<http::Server> operations;
   Instant drain_begun{};
-  std::size_t heard = 0;
+  std::size_t live_peer_count = 0;
   std::set<CustomerName> counted_customers;
   bool draining = false;
   bool stopped_accepting = false;
@@ -488,8 +490,8 @@
   return this->implementation->PeersReadStore();
 }
 
-std::size_t GatewayProcess::peers_heard() const {
-  return this->implementation->peers_heard();
+std::size_t GatewayProcess::live_peers() const {
+  return this->implementation->live_peers();
 }
 
 void GatewayProcess::SetCrash(const retry::CrashRecord& kept) {
--- a/src/gateway_process/gateway_process.h
+++ b/src/gateway_process/gateway_process.h
@@ -61,7 +61,7 @@
   // Whether others read it, so that this process need not.
   bool PeersReadStore();
   // Other gateways that are heard now.
-  std::size_t peers_heard() const;
+  std::size_t live_peers() const;
 
   // A quarantined request that was kept.
   void SetCrash(const retry::CrashRecord& kept);
--- a/src/gateway_process/internal/catalog_handout.cc
+++ b/src/gateway_process/internal/catalog_page_server.cc
@@ -1,12 +1,12 @@
-#include "gateway_process/internal/catalog_handout.h"
+#include "gateway_process/internal/catalog_page_server.h"
 
 namespace acacialug::gateway_process {
 
-std::string CatalogHandout::PageFor(const Catalog& catalog,
-                                    LogOffset asker_knows,
-                                    Instant now) {
+std::string CatalogPageServer::PageFor(const Catalog& catalog,
+                                       LogOffset known_to_peer,
+                                       Instant now) {
   const auto& configuration = catalog.configuration;
-  if (configuration == nullptr || configuration->offset < asker_knows) {
+  if (configuration == nullptr || configuration->offset < known_to_peer) {
     return RenderCatalog(catalog.endpoints, {});
   }
   const std::string& whole = this->TextOf(*configuration);
@@ -15,7 +15,7 @@
                                               : std::string_view());
 }
 
-const std::string& CatalogHandout::TextOf(
+const std::string& CatalogPageServer::TextOf(
     const gateway::Configuration& configuration) {
   if (this->text_of != configuration.offset) {
     this->text = RenderConfiguration(configuration);
@@ -27,13 +27,13 @@
 
 // How long one takes is reckoned: what the operating system has taken may still
 // lie before the link.
-bool CatalogHandout::Begin(std::size_t bytes, Instant now) {
+bool CatalogPageServer::Begin(std::size_t bytes, Instant now) {
   std::erase_if(this->ends, [now](Instant end) { return end <= now; });
-  if (this->ends.size() >= kMostAtOnce) {
+  if (this->ends.size() >= kMaxConcurrent) {
     return false;
   }
   this->ends.push_back(now +
-                       FromSeconds(static_cast<double>(bytes * kMostAtOnce) /
+                       FromSeconds(static_cast<double>(bytes * kMaxConcurrent) /
                                    static_cast<double>(kBytesPerSecond)));
   return true;
 }
--- a/src/gateway_process/internal/catalog_handout.h
+++ b/src/gateway_process/internal/catalog_page_server.h
@@ -1,5 +1,5 @@
-#ifndef GATEWAY_PROCESS_INTERNAL_CATALOG_HANDOUT_H_
-#define GATEWAY_PROCESS_INTERNAL_CATALOG_HANDOUT_H_
+#ifndef GATEWAY_PROCESS_INTERNAL_CATALOG_PAGE_SERVER_H_
+#define GATEWAY_PROCESS_INTERNAL_CATALOG_PAGE_SERVER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -14,21 +14,21 @@
 namespace acacialug::gateway_process {
 
 // What is handed over to peers that ask for the catalog page. Not thread safe.
-class CatalogHandout {
+class CatalogPageServer {
  public:
   // So many configurations are under way at a time.
-  static constexpr std::size_t kMostAtOnce = 2;
+  static constexpr std::size_t kMaxConcurrent = 2;
   // And together take so much of this process's link: half of the thinnest
   // that gateways have, 10 Mbit/s. With more of it, what the process asks of
   // its endpoints meanwhile is late.
   static constexpr std::int64_t kBytesPerSecond = 625'000;
 
-  // The page for a peer that needs no configuration before `asker_knows`, a
+  // The page for a peer that needs no configuration before `known_to_peer`, a
   // position as of PeerLink::Positions; zero: it needs whatever there is.
   // Without the configuration when the peer need not have it, and when so many
   // are under way that it has to ask elsewhere or later.
   std::string PageFor(const Catalog& catalog,
-                      LogOffset asker_knows,
+                      LogOffset known_to_peer,
                       Instant now);
 
   // Texts of configurations made so far.
@@ -49,4 +49,4 @@
 
 }  // namespace acacialug::gateway_process
 
-#endif  // GATEWAY_PROCESS_INTERNAL_CATALOG_HANDOUT_H_
+#endif  // GATEWAY_PROCESS_INTERNAL_CATALOG_PAGE_SERVER_H_
--- a/src/gateway_process/internal/catalog_sources.cc
+++ b/src/gateway_process/internal/catalog_sources.cc
@@ -43,23 +43,23 @@
     this->behind_since.reset();
   }
   this->known = newest;
-  this->NoteBehind(now);
+  this->UpdateBehindSince(now);
 }
 
-void CatalogSources::NoteTold(const std::string& peer,
-                              const CatalogPositions& told,
+void CatalogSources::OnReport(const std::string& peer,
+                              const CatalogPositions& positions,
                               Instant now) {
-  Peer& teller = this->peers[peer];
-  teller.told = told;
-  teller.heard = true;
-  this->NoteBehind(now);
+  Peer& reporter = this->peers[peer];
+  reporter.positions = positions;
+  reporter.reported = true;
+  this->UpdateBehindSince(now);
 }
 
 void CatalogSources::NoteLost(const std::string& peer) {
-  this->peers[peer].heard = false;
+  this->peers[peer].reported = false;
 }
 
-void CatalogSources::NoteBehind(Instant now) {
+void CatalogSources::UpdateBehindSince(Instant now) {
   if (this->NewestConfiguration() == this->known.configuration) {
     this->behind_since.reset();
   } else if (!this->behind_since) {
@@ -70,21 +70,21 @@
 LogOffset CatalogSources::NewestConfiguration() const {
   LogOffset newest = this->known.configuration;
   for (const auto& [id, peer] : this->peers) {
-    newest =
-        std::max(newest, peer.heard ? peer.told.configuration : LogOffset());
+    newest = std::max(
+        newest, peer.reported ? peer.positions.configuration : LogOffset());
   }
   return newest;
 }
 
 bool CatalogSources::HasNewerConfiguration(const Peer& peer,
                                            Instant now) const {
-  return peer.heard && now >= peer.passed_over_until &&
-         peer.told.configuration > this->known.configuration;
+  return peer.reported && now >= peer.skipped_until &&
+         peer.positions.configuration > this->known.configuration;
 }
 
 bool CatalogSources::HasNewerEndpoints(const Peer& peer, Instant now) const {
-  return peer.heard && now >= peer.passed_over_until &&
-         now >= peer.open_until && peer.told.endpoints > this->known.endpoints;
+  return peer.reported && now >= peer.skipped_until && now >= peer.open_until &&
+         peer.positions.endpoints > this->known.endpoints;
 }
 
 // Not left to the store by a process that has none, and serves nobody until it
@@ -103,19 +103,19 @@
                      });
 }
 
-std::optional<CatalogQuestion> CatalogSources::Next(Instant now) const {
+std::optional<CatalogRequest> CatalogSources::Next(Instant now) const {
   const bool needs_configuration = this->NeedsConfiguration(now);
   const std::pair<const std::string, Peer>* best = nullptr;
   Offer best_offer;
   for (const auto& entry : this->peers) {
     const auto& [id, peer] = entry;
     Offer offer;
-    if (needs_configuration && now >= peer.turned_away_until &&
+    if (needs_configuration && now >= peer.busy_until &&
         this->HasNewerConfiguration(peer, now)) {
-      offer.configuration = peer.told.configuration;
+      offer.configuration = peer.positions.configuration;
     }
     if (this->HasNewerEndpoints(peer, now)) {
-      offer.endpoints = peer.told.endpoints;
+      offer.endpoints = peer.positions.endpoints;
     }
     if (offer.empty()) {
       continue;
@@ -130,32 +130,34 @@
   if (best == nullptr) {
     return std::nullopt;
   }
-  return CatalogQuestion{
+  return CatalogRequest{
       .peer = best->first,
       // What the store is to bring is told as known.
       .known_configuration = needs_configuration ? this->known.configuration
                                                  : this->NewestConfiguration(),
-      .configuration = best->second.told.configuration,
-      .endpoints = best->second.told.endpoints};
+      .configuration = best->second.positions.configuration,
+      .endpoints = best->second.positions.endpoints};
 }
 
-void CatalogSources::NoteFailed(const CatalogQuestion& question, Instant now) {
-  this->peers[question.peer].passed_over_until = now + kPassedOver;
+void CatalogSources::NoteFailed(const CatalogRequest& catalog_request,
+                                Instant now) {
+  this->peers[catalog_request.peer].skipped_until = now + kPassedOver;
 }
 
 // What the peer did not hand over is asked of others meanwhile, and the rest of
 // it: neither is a failure.
-void CatalogSources::NoteAnswered(const CatalogQuestion& question,
+void CatalogSources::NoteAnswered(const CatalogRequest& catalog_request,
                                   bool configured,
                                   Instant now) {
-  Peer& peer = this->peers[question.peer];
-  if (!configured && question.configuration > question.known_configuration) {
-    peer.turned_away_until = now + kTurnedAwayPause;
+  Peer& peer = this->peers[catalog_request.peer];
+  if (!configured &&
+      catalog_request.configuration > catalog_request.known_configuration) {
+    peer.busy_until = now + kTurnedAwayPause;
   }
   // A peer that waits for lapsed records tells of changes that its catalog
   // leaves open. Asked again and again, being the best of those that know as
   // much, it would keep others' settled knowledge from this process.
-  if (question.endpoints > this->known.endpoints) {
+  if (catalog_request.endpoints > this->known.endpoints) {
     peer.open_until = now + kPassedOver;
   }
 }
--- a/src/gateway_process/internal/catalog_sources.h
+++ b/src/gateway_process/internal/catalog_sources.h
@@ -18,7 +18,7 @@
 };
 
 // Whom to ask for the catalog page, and how far it knew by its own word.
-struct CatalogQuestion {
+struct CatalogRequest {
   std::string peer;
   LogOffset known_configuration;  // to be told to it
   LogOffset configuration;
@@ -37,8 +37,8 @@
   void SetStoreServes(bool serves) { this->store_serves = serves; }
 
   // A peer told how far it knows, or is not heard any more.
-  void NoteTold(const std::string& peer,
-                const CatalogPositions& told,
+  void OnReport(const std::string& peer,
+                const CatalogPositions& positions,
                 Instant now);
   void NoteLost(const std::string& peer);
 
@@ -46,30 +46,30 @@
   // bring it.
   bool AnyKnowsMore(Instant now) const;
   // Empty: nobody is to be asked now.
-  std::optional<CatalogQuestion> Next(Instant now) const;
+  std::optional<CatalogRequest> Next(Instant now) const;
 
   // It did not answer as a peer does.
-  void NoteFailed(const CatalogQuestion& question, Instant now);
+  void NoteFailed(const CatalogRequest& catalog_request, Instant now);
   // It answered, and what it knows by now was taken (SetKnown); `configured`:
   // a configuration was in it.
-  void NoteAnswered(const CatalogQuestion& question,
+  void NoteAnswered(const CatalogRequest& catalog_request,
                     bool configured,
                     Instant now);
 
  private:
   struct Peer {
-    CatalogPositions told;
-    bool heard = false;
-    Instant passed_over_until{};  // it did not answer as a peer does
-    Instant open_until{};         // its endpoints leave open what it tells of
-    Instant turned_away_until{};  // it handed its configuration to others
+    CatalogPositions positions;
+    bool reported = false;
+    Instant skipped_until{};  // it did not answer as a peer does
+    Instant open_until{};     // its endpoints leave open what it tells of
+    Instant busy_until{};     // it handed its configuration to others
   };
 
   bool HasNewerConfiguration(const Peer& peer, Instant now) const;
   bool HasNewerEndpoints(const Peer& peer, Instant now) const;
   // The newest that this process knows, or a peer tells of.
   LogOffset NewestConfiguration() const;
-  void NoteBehind(Instant now);
+  void UpdateBehindSince(Instant now);
   // Whether a newer configuration is to come from a peer.
   bool NeedsConfiguration(Instant now) const;
 
--- a/src/gateway_process/internal/heartbeat_rows.cc
+++ b/src/gateway_process/internal/heartbeat_rows.cc
@@ -31,10 +31,10 @@
   return crash;
 }
 
-retry::CrashRecord RecordOf(const protocol::PeerHeartbeat::Crash& told) {
-  retry::CrashRecord record{.request = retry::RequestKey(told.request_key),
-                            .age = std::chrono::milliseconds(told.age_ms)};
-  for (const protocol::PeerHeartbeat::Crash::End& end : told.ends) {
+retry::CrashRecord CrashFromRow(const protocol::PeerHeartbeat::Crash& report) {
+  retry::CrashRecord record{.request = retry::RequestKey(report.request_key),
+                            .age = std::chrono::milliseconds(report.age_ms)};
+  for (const protocol::PeerHeartbeat::Crash::End& end : report.ends) {
     record.ends.push_back(
         {.endpoint = end.endpoint_key, .attempt = end.attempt_key});
   }
@@ -55,7 +55,7 @@
   return rows;
 }
 
-std::vector<quota::QuotaUse> QuotaUses(
+std::vector<quota::QuotaUse> QuotasFromRows(
     const std::vector<protocol::PeerHeartbeat::Quota>& rows) {
   std::vector<quota::QuotaUse> uses;
   uses.reserve(rows.size());
@@ -70,33 +70,35 @@
 }
 
 protocol::PeerHeartbeat::Forecast ForecastRow(
-    const forecast::ForecastReport& told) {
+    const forecast::ForecastReport& report) {
   protocol::PeerHeartbeat::Forecast row{
-      .service_key = told.service_key,
-      .prompt_tokens = static_cast<float>(told.sizes.prompt_tokens),
-      .output_tokens = static_cast<float>(told.sizes.output_tokens),
-      .requests = ByteOf(told.sizes.requests)};
-  for (const forecast::ReportedValue& figure : told.figures) {
+      .service_key = report.service_key,
+      .prompt_tokens = static_cast<float>(report.sizes.prompt_tokens),
+      .output_tokens = static_cast<float>(report.sizes.output_tokens),
+      .requests = ByteOf(report.sizes.requests)};
+  for (const forecast::ReportedValue& figure : report.figures) {
     row.figures.push_back({.value = static_cast<float>(figure.value),
                            .observations = ByteOf(figure.observations)});
   }
   return row;
 }
 
-forecast::ForecastReport ToldOf(const protocol::PeerHeartbeat::Forecast& row) {
-  forecast::ForecastReport told{.service_key = row.service_key,
-                                .sizes = {.prompt_tokens = row.prompt_tokens,
-                                          .output_tokens = row.output_tokens,
-                                          .requests = row.requests}};
-  const std::size_t known = std::min(row.figures.size(), told.figures.size());
+forecast::ForecastReport ForecastFromRow(
+    const protocol::PeerHeartbeat::Forecast& row) {
+  forecast::ForecastReport report{.service_key = row.service_key,
+                                  .sizes = {.prompt_tokens = row.prompt_tokens,
+                                            .output_tokens = row.output_tokens,
+                                            .requests = row.requests}};
+  const std::size_t known = std::min(row.figures.size(), report.figures.size());
   for (std::size_t at = 0; at < known; ++at) {
-    told.figures[at] = {.value = row.figures[at].value,
-                        .observations = row.figures[at].observations};
+    report.figures[at] = {.value = row.figures[at].value,
+                          .observations = row.figures[at].observations};
   }
-  return told;
+  return report;
 }
 
-gateway::PeerLoad LoadOf(const protocol::PeerHeartbeat& heartbeat, bool near) {
+gateway::PeerLoad LoadFromHeartbeat(const protocol::PeerHeartbeat& heartbeat,
+                                    bool near) {
   gateway::PeerLoad load{.near = near};
   load.rows.reserve(heartbeat.rows.size());
   for (const protocol::PeerHeartbeat::Row& row : heartbeat.rows) {
--- a/src/gateway_process/internal/heartbeat_rows.h
+++ b/src/gateway_process/internal/heartbeat_rows.h
@@ -14,20 +14,22 @@
 // What a heartbeat tells, in the words of whoever decides by it. Thread safe.
 
 protocol::PeerHeartbeat::Crash CrashRow(const retry::CrashRecord& record);
-retry::CrashRecord RecordOf(const protocol::PeerHeartbeat::Crash& told);
+retry::CrashRecord CrashFromRow(const protocol::PeerHeartbeat::Crash& report);
 
 std::vector<protocol::PeerHeartbeat::Quota> QuotaRows(
     const std::vector<quota::QuotaUse>& uses);
-std::vector<quota::QuotaUse> QuotaUses(
+std::vector<quota::QuotaUse> QuotasFromRows(
     const std::vector<protocol::PeerHeartbeat::Quota>& rows);
 
 protocol::PeerHeartbeat::Forecast ForecastRow(
-    const forecast::ForecastReport& told);
+    const forecast::ForecastReport& report);
 // Figures that this process does not know are a newer peer's.
-forecast::ForecastReport ToldOf(const protocol::PeerHeartbeat::Forecast& row);
+forecast::ForecastReport ForecastFromRow(
+    const protocol::PeerHeartbeat::Forecast& row);
 
 // `near`: the sender is of the reader's failure domain.
-gateway::PeerLoad LoadOf(const protocol::PeerHeartbeat& heartbeat, bool near);
+gateway::PeerLoad LoadFromHeartbeat(const protocol::PeerHeartbeat& heartbeat,
+                                    bool near);
 
 }  // namespace acacialug::gateway_process
 
--- a/src/gateway_process/internal/peer_link.cc
+++ b/src/gateway_process/internal/peer_link.cc
@@ -11,7 +11,7 @@
 #include "framework/log/log.h"
 #include "framework/net/datagram_socket.h"
 #include "gateway/peer_rounds.h"
-#include "gateway_process/internal/catalog_handout.h"
+#include "gateway_process/internal/catalog_page_server.h"
 #include "gateway_process/internal/catalog_sources.h"
 #include "gateway_process/internal/heartbeat_rows.h"
 #include "placement/types/hashing.h"
@@ -66,10 +66,10 @@
   Incarnation incarnation;
   std::uint64_t sequence = 0;
   std::uint16_t pages_port = 0;
-  Instant heard_at{};
+  Instant last_received_at{};
   Instant told_at{};
   Instant read_at{};
-  bool heard = false;
+  bool reported = false;
   bool near = false;  // of this process's failure domain
 };
 
@@ -131,7 +131,7 @@
       }
       this->options.on_listed(id);
       Peer& peer = this->peers[id];
-      if (!peer.heard || peer.address.port == 0) {
+      if (!peer.reported || peer.address.port == 0) {
         peer.address = address;
       }
     }
@@ -149,7 +149,7 @@
     }
   }
 
-  void TellPauses() {
+  void ReportPauses() {
     const std::size_t pauses = this->options.own_pauses().size();
     for (std::size_t told = 0; told < pauses;
          told += protocol::kMaxPeerHeartbeatPauses) {
@@ -186,7 +186,8 @@
     std::size_t readers_before = 0;
     bool fresh = false;
     for (const auto& [id, peer] : this->peers) {
-      if (!peer.heard || now - peer.heard_at > kReaderMemory + round) {
+      if (!peer.reported ||
+          now - peer.last_received_at > kReaderMemory + round) {
         continue;
       }
       readers_before += id < this->options.id ? 1 : 0;
@@ -221,8 +222,8 @@
       if (peer.near != near) {
         continue;
       }
-      const bool lives =
-          peer.heard && group.last_told - peer.heard_at < kPeerMemory;
+      const bool lives = peer.reported &&
+                         group.last_told - peer.last_received_at < kPeerMemory;
       if (lives || group.last_told - peer.told_at >= kRetryInterval) {
         peer.told_at = group.last_told;
         this->socket.Send(datagram, peer.address);
@@ -241,7 +242,7 @@
         .endpoints = this->known.changed_to,
         .read_age_ms = this->ReadAge()};
     this->AddCrashes(heartbeat, group);
-    heartbeat.quotas = QuotaRows(this->options.tell_quotas(
+    heartbeat.quotas = QuotaRows(this->options.collect_quota_reports(
         group.number, protocol::kMaxPeerHeartbeatQuotas));
     this->AddLoad(heartbeat);
     this->AddPauses(heartbeat, group);
@@ -252,8 +253,9 @@
   // They go before loads: a request that ends endpoints goes on ending them
   // until every process knows it.
   void AddCrashes(protocol::PeerHeartbeat& heartbeat, Group& group) {
-    const std::vector<retry::CrashRecord> told = this->options.tell_crashes(
-        protocol::kMaxPeerHeartbeatCrashes, group.rounds);
+    const std::vector<retry::CrashRecord> told =
+        this->options.collect_crash_reports(protocol::kMaxPeerHeartbeatCrashes,
+                                            group.rounds);
     group.rounds += told.empty() ? 0 : 1;
     for (const retry::CrashRecord& record : told) {
       heartbeat.crashes.push_back(CrashRow(record));
@@ -261,20 +263,20 @@
   }
 
   void AddLoad(protocol::PeerHeartbeat& heartbeat) const {
-    const std::size_t most = protocol::kMaxPeerHeartbeatRows -
-                             heartbeat.quotas.size() -
-                             protocol::kRowsPerCrash * heartbeat.crashes.size();
+    const std::size_t max_count =
+        protocol::kMaxPeerHeartbeatRows - heartbeat.quotas.size() -
+        protocol::kRowsPerCrash * heartbeat.crashes.size();
     gateway::PeerLoad load = this->options.own_load();
-    if (load.rows.size() > most) {
+    if (load.rows.size() > max_count) {
       // The largest loads matter most; the rest is told by placing elsewhere.
       std::partial_sort(
           load.rows.begin(),
-          load.rows.begin() + static_cast<std::ptrdiff_t>(most),
+          load.rows.begin() + static_cast<std::ptrdiff_t>(max_count),
           load.rows.end(), [](const auto& left, const auto& right) {
             return left.load.kv_tokens + left.load.prefill_tokens >
                    right.load.kv_tokens + right.load.prefill_tokens;
           });
-      load.rows.resize(most);
+      load.rows.resize(max_count);
     }
     for (const gateway::PeerLoad::Row& row : load.rows) {
       heartbeat.rows.push_back({.endpoint_key = row.endpoint_key,
@@ -342,10 +344,10 @@
       return;
     }
     const bool newcomer = !this->peers.contains(heartbeat->sender) ||
-                          !this->peers[heartbeat->sender].heard;
+                          !this->peers[heartbeat->sender].reported;
     Peer& peer = this->peers[heartbeat->sender];
     // Datagrams overtake each other; an old one must not undo a newer.
-    if (peer.heard && peer.incarnation == heartbeat->incarnation &&
+    if (peer.reported && peer.incarnation == heartbeat->incarnation &&
         heartbeat->sequence <= peer.sequence) {
       return;
     }
@@ -353,15 +355,15 @@
       log::Info("peer_heard", {.fields = {{"peer", heartbeat->sender},
                                           {"from", http::ToString(from)}}});
     }
-    peer.heard = true;
+    peer.reported = true;
     peer.address = from;
     peer.near = heartbeat->domain_key == this->domain_key;
     peer.incarnation = heartbeat->incarnation;
     peer.sequence = heartbeat->sequence;
     peer.pages_port = heartbeat->pages_port;
-    peer.heard_at = this->options.now();
-    peer.read_at =
-        peer.heard_at - std::chrono::milliseconds(heartbeat->read_age_ms);
+    peer.last_received_at = this->options.now();
+    peer.read_at = peer.last_received_at -
+                   std::chrono::milliseconds(heartbeat->read_age_ms);
     for (const protocol::PeerHeartbeat::Pause& pause : heartbeat->pauses) {
       this->options.on_pause(
           {.endpoint_key = pause.endpoint_key,
@@ -370,20 +372,21 @@
                                        : gateway::PauseReason::kRoleChange});
     }
     for (const protocol::PeerHeartbeat::Forecast& told : heartbeat->forecasts) {
-      this->options.on_forecast(heartbeat->sender, ToldOf(told));
+      this->options.on_forecast(heartbeat->sender, ForecastFromRow(told));
     }
     for (const protocol::PeerHeartbeat::Crash& told : heartbeat->crashes) {
-      this->options.on_crash(RecordOf(told));
+      this->options.on_crash(CrashFromRow(told));
     }
-    this->options.on_heard(heartbeat->sender, heartbeat->incarnation,
-                           QuotaUses(heartbeat->quotas));
-    this->options.on_load(heartbeat->sender, LoadOf(*heartbeat, peer.near));
-    this->sources.NoteTold(heartbeat->sender,
+    this->options.on_heartbeat(heartbeat->sender, heartbeat->incarnation,
+                               QuotasFromRows(heartbeat->quotas));
+    this->options.on_load(heartbeat->sender,
+                          LoadFromHeartbeat(*heartbeat, peer.near));
+    this->sources.OnReport(heartbeat->sender,
                            {.configuration = heartbeat->configuration,
                             .endpoints = heartbeat->endpoints},
-                           peer.heard_at);
+                           peer.last_received_at);
     if (newcomer) {
-      this->options.on_newcomer();
+      this->options.on_new_peer();
       this->TellAll();
       // Not from here: what the others sent may lie behind this datagram.
       QTimer::singleShot(0, &this->keep_alive, [this] { this->OnKeepAlive(); });
@@ -413,16 +416,18 @@
     std::size_t known = 0;
     bool first = true;
     for (auto& [id, peer] : this->peers) {
-      const bool lives = peer.heard && now - peer.heard_at < kPeerMemory;
-      if (peer.heard && !lives) {
-        peer.heard = false;
+      const bool lives =
+          peer.reported && now - peer.last_received_at < kPeerMemory;
+      if (peer.reported && !lives) {
+        peer.reported = false;
         this->sources.NoteLost(id);
-        log::Warning(
-            "peer_lost",
-            {.fields = {{"peer", id}, {"silent_ms", now - peer.heard_at}}});
+        log::Warning("peer_lost",
+                     {.fields = {{"peer", id},
+                                 {"silent_ms", now - peer.last_received_at}}});
       }
       alive += lives ? 1 : 0;
-      known += peer.heard_at != Instant{} && now - peer.heard_at < kKnownMemory
+      known += peer.last_received_at != Instant{} &&
+                       now - peer.last_received_at < kKnownMemory
                    ? 1
                    : 0;
       first = first && !(lives && id < this->options.id);
@@ -435,47 +440,47 @@
     if (this->fetching || now - this->fetched_at < kFetchInterval) {
       return;
     }
-    if (const auto question = this->sources.Next(now)) {
+    if (const auto catalog_request = this->sources.Next(now)) {
       this->fetching = true;
       this->fetched_at = now;
-      this->Ask(*question);
+      this->FetchFromPeer(*catalog_request);
     }
   }
 
-  void Ask(const CatalogQuestion& question) {
-    const Peer& peer = this->peers[question.peer];
+  void FetchFromPeer(const CatalogRequest& catalog_request) {
+    const Peer& peer = this->peers[catalog_request.peer];
     const http::Address pages_at{.ip = peer.address.ip,
                                  .port = peer.pages_port};
     const std::string from = http::ToString(pages_at);
     this->client.Send(
         pages_at,
         {.method = "GET",
-         .target = CatalogTarget(question.known_configuration)},
+         .target = CatalogTarget(catalog_request.known_configuration)},
         {.on_end =
-             [this, question, from](const std::string& body) {
+             [this, catalog_request, from](const std::string& body) {
                this->fetching = false;
-               this->OnCatalog(question, from, body);
+               this->OnCatalog(catalog_request, from, body);
              },
          .on_error =
-             [this, question, from](const Error& error, bool) {
+             [this, catalog_request, from](const Error& error, bool) {
                this->fetching = false;
                log::WriteLimited(
                    this->limiter, this->options.now(), log::Level::kWarning,
                    "peer_catalog_failed",
                    {.code = error.result_code(),
                     .fields = {{"from", from}, {"detail", error.detail}}});
-               this->AskNext(question);
+               this->AskNext(catalog_request);
              }});
   }
 
   // The next best is asked meanwhile: one that died is believed to live for
   // two seconds, and all would wait for it.
-  void AskNext(const CatalogQuestion& failed) {
+  void AskNext(const CatalogRequest& failed) {
     this->sources.NoteFailed(failed, this->options.now());
     this->FetchIfBehind();
   }
 
-  void OnCatalog(const CatalogQuestion& question,
+  void OnCatalog(const CatalogRequest& catalog_request,
                  const std::string& from,
                  const std::string& body) {
     const Result<Catalog> catalog =
@@ -485,7 +490,7 @@
           "peer_catalog_bad",
           {.code = catalog.error().result_code(),
            .fields = {{"from", from}, {"detail", catalog.error().detail}}});
-      this->AskNext(question);
+      this->AskNext(catalog_request);
       return;
     }
     const bool configured = catalog->configuration != nullptr;
@@ -495,7 +500,8 @@
                                   {"endpoints_as_of", catalog->endpoints.as_of},
                                   {"with_configuration", configured}}});
     this->options.on_catalog(*catalog);
-    this->sources.NoteAnswered(question, configured, this->options.now());
+    this->sources.NoteAnswered(catalog_request, configured,
+                               this->options.now());
     this->FetchIfBehind();
   }
 
@@ -522,7 +528,7 @@
   Group near_group{.number = 0};
   Group far_group{.number = 1};
   std::map<std::string, Peer> peers;
-  CatalogHandout handout;
+  CatalogPageServer handout;
   log::RepeatLimiter limiter{{}};
   Positions known;
   std::uint64_t sequence = 0;
@@ -549,8 +555,8 @@
   this->implementation->OnLoadChanged();
 }
 
-void PeerLink::TellPauses() {
-  this->implementation->TellPauses();
+void PeerLink::ReportPauses() {
+  this->implementation->ReportPauses();
 }
 
 void PeerLink::SetPositions(const Positions& positions) {
--- a/src/gateway_process/metric_definitions.h
+++ b/src/gateway_process/metric_definitions.h
@@ -50,7 +50,7 @@
     .name = "acacialug_gateway_peers",
     .help = "Peers that were heard lately"};
 
-inline constexpr metrics::HistogramDefinition kGatewayStandstillSeconds = {
+inline constexpr metrics::HistogramDefinition kGatewayStallSeconds = {
     .name = "acacialug_gateway_standstill_seconds",
     .help = "Times for which this process stood still, as an upper bound"};
 
--- a/src/gateway_process/peer_link.h
+++ b/src/gateway_process/peer_link.h
@@ -45,30 +45,30 @@
     // empty: of none. And what a peer did.
     std::function<std::optional<forecast::ForecastReport>()> next_forecast;
     std::function<void(const std::string& peer,
-                       const forecast::ForecastReport& told)>
+                       const forecast::ForecastReport& report)>
         on_forecast;
     // Requests under which endpoints ended: those for a heartbeat, of which
     // the `round`-th is sent; what a peer told; and that a peer is heard that
     // may know none.
-    std::function<std::vector<retry::CrashRecord>(std::size_t most,
+    std::function<std::vector<retry::CrashRecord>(std::size_t max_count,
                                                   std::size_t round)>
-        tell_crashes;
-    std::function<void(const retry::CrashRecord& told)> on_crash;
-    std::function<void()> on_newcomer;
+        collect_crash_reports;
+    std::function<void(const retry::CrashRecord& report)> on_crash;
+    std::function<void()> on_new_peer;
     // Customers' quotas: what the peers of a group should hear of what this
     // process took; that a peer was heard, with what it told; and that one is
     // said to be there.
     std::function<std::vector<quota::QuotaUse>(std::size_t group,
-                                               std::size_t most)>
-        tell_quotas;
+                                               std::size_t max_count)>
+        collect_quota_reports;
     std::function<void(const std::string& peer,
                        Incarnation incarnation,
-                       const std::vector<quota::QuotaUse>& told)>
-        on_heard;
+                       const std::vector<quota::QuotaUse>& report)>
+        on_heartbeat;
     std::function<void(const std::string& peer)> on_listed;
     // How many peers are heard, how many there were lately, heard or not, and
     // whether this process's id is the first of those heard.
-    std::function<void(std::size_t heard, std::size_t known, bool first)>
+    std::function<void(std::size_t live, std::size_t known, bool first)>
         on_peer_count;
     std::function<void(const Catalog& catalog)> on_catalog;
     std::function<Instant()> now = MonotonicNow;
@@ -87,7 +87,7 @@
   void OnLoadChanged();
 
   // All pauses are told at once, in as many heartbeats as they need.
-  void TellPauses();
+  void ReportPauses();
 
   struct Positions {
     LogOffset configuration;  // of the one in force plus one; zero: none
--- a/src/gateway_process/tests/catalog_handout_test.cc
+++ b/src/gateway_process/tests/catalog_page_server_test.cc
@@ -1,4 +1,4 @@
-#include "gateway_process/internal/catalog_handout.h"
+#include "gateway_process/internal/catalog_page_server.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -23,7 +23,7 @@
     "the configuration",
     {It("is handed to whoever does not tell that it knows it",
         [] {
-          CatalogHandout handout;
+          CatalogPageServer handout;
           CPPUNIT_ASSERT(HasConfiguration(
               handout.PageFor(KnownAt(5), LogOffset(), kBegin)));
           CPPUNIT_ASSERT(HasConfiguration(
@@ -37,7 +37,7 @@
           // pages kept reservations at endpoints from being answered in time,
           // and streams broke off: 542 peer_catalog_taken, 71
           // configuration_taken.
-          CatalogHandout handout;
+          CatalogPageServer handout;
           const std::string page =
               handout.PageFor(KnownAt(5), LogOffset(6), kBegin);
           CPPUNIT_ASSERT(!HasConfiguration(page));
@@ -47,7 +47,7 @@
         }),
      It("is rendered once for all who ask",
         [] {
-          CatalogHandout handout;
+          CatalogPageServer handout;
           const Catalog known = KnownAt(5);
           Instant now = kBegin;
           for (int asker = 0; asker < 20; ++asker, now += 1min) {
@@ -64,13 +64,14 @@
         }),
      It("is handed to so many at a time that half of the link is left",
         [] {
-          CatalogHandout handout;
+          CatalogPageServer handout;
           const Catalog known = KnownAt(5);
           const auto ask = [&](Instant now) {
             return handout.PageFor(known, LogOffset(), now);
           };
           std::size_t bytes = 0;
-          for (std::size_t one = 0; one < CatalogHandout::kMostAtOnce; ++one) {
+          for (std::size_t one = 0; one < CatalogPageServer::kMaxConcurrent;
+               ++one) {
             const std::string page = ask(kBegin);
             CPPUNIT_ASSERT(HasConfiguration(page));
             bytes += page.size();
@@ -81,7 +82,7 @@
               std::size_t{1},
               ParseCatalog(turned_away)->endpoints.records.size());
           const Duration under_way = FromSeconds(
-              static_cast<double>(bytes) / CatalogHandout::kBytesPerSecond);
+              static_cast<double>(bytes) / CatalogPageServer::kBytesPerSecond);
           CPPUNIT_ASSERT(!HasConfiguration(ask(kBegin + under_way / 2)));
           CPPUNIT_ASSERT(HasConfiguration(ask(kBegin + under_way + 1ms)));
         }),
--- a/src/gateway_process/tests/peer_link_test.cc
+++ b/src/gateway_process/tests/peer_link_test.cc
@@ -56,37 +56,37 @@
                   },
               .on_load =
                   [this](const std::string& peer,
-                         const gateway::PeerLoad& heard) {
-                    this->heard[peer] = heard;
+                         const gateway::PeerLoad& received) {
+                    this->received[peer] = received;
                     ++this->told_of;
                   },
               .next_forecast = [this] { return this->learned; },
               .on_forecast =
                   [this](const std::string&,
-                         const forecast::ForecastReport& told) {
-                    this->heard_forecast = told;
+                         const forecast::ForecastReport& report) {
+                    this->received_forecast = report;
                   },
-              .tell_crashes =
-                  [this](std::size_t most, std::size_t round) {
-                    return this->crashes.CollectReports(most, round,
+              .collect_crash_reports =
+                  [this](std::size_t max_count, std::size_t round) {
+                    return this->crashes.CollectReports(max_count, round,
                                                         this->Now());
                   },
               .on_crash =
-                  [this](const retry::CrashRecord& told) {
-                    this->crashes.Merge(told, this->Now());
+                  [this](const retry::CrashRecord& report) {
+                    this->crashes.Merge(report, this->Now());
                   },
-              .on_newcomer =
+              .on_new_peer =
                   [this] { this->crashes.ResendReports(this->Now()); },
-              .tell_quotas =
-                  [this](std::size_t group, std::size_t most) {
-                    return this->quotas.CollectReports(group, most,
+              .collect_quota_reports =
+                  [this](std::size_t group, std::size_t max_count) {
+                    return this->quotas.CollectReports(group, max_count,
                                                        this->Now());
                   },
-              .on_heard =
+              .on_heartbeat =
                   [this](const std::string& peer,
                          Incarnation incarnation,
-                         const std::vector<quota::QuotaUse>& told) {
-                    this->quotas.OnPeerReport(peer, incarnation, told,
+                         const std::vector<quota::QuotaUse>& report) {
+                    this->quotas.OnPeerReport(peer, incarnation, report,
                                               this->Now());
                   },
               .on_listed =
@@ -132,11 +132,11 @@
     return quota::Quota{.per_second = 1000, .burst = 1000};
   }}};
   std::vector<gateway::EndpointPause> pauses;
-  std::map<std::string, gateway::PeerLoad> heard;
+  std::map<std::string, gateway::PeerLoad> received;
   gateway::EndpointPause heard_pause;
   std::set<std::uint64_t> heard_pauses;  // by endpoint
   std::optional<forecast::ForecastReport> learned;
-  std::optional<forecast::ForecastReport> heard_forecast;
+  std::optional<forecast::ForecastReport> received_forecast;
   std::optional<Catalog> taken;
   int takes = 0;
   bool took_configuration = false;
@@ -180,11 +180,11 @@
                        .reason = gateway::PauseReason::kUnreachable}};
           b.link.SetMembers({{"a", a.address}, {"b", b.address}});
           WaitUntil("loads", [&] {
-            return b.heard.contains("a") && a.heard.contains("b");
+            return b.received.contains("a") && a.received.contains("b");
           });
-          WaitUntil("rows", [&] { return !b.heard["a"].rows.empty(); });
+          WaitUntil("rows", [&] { return !b.received["a"].rows.empty(); });
           CPPUNIT_ASSERT_EQUAL(std::uint32_t{2},
-                               b.heard["a"].rows[0].load.requests);
+                               b.received["a"].rows[0].load.requests);
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, b.heard_pause.endpoint_key);
           CPPUNIT_ASSERT(b.heard_pause.left == 1s);
           CPPUNIT_ASSERT(b.heard_pause.reason ==
@@ -202,12 +202,12 @@
           Peer a("a", FreePort());
           Peer b("b", FreePort());
           b.link.SetMembers({{"a", a.address}});
-          WaitUntil("loads", [&] { return a.heard.contains("b"); });
+          WaitUntil("loads", [&] { return a.received.contains("b"); });
           for (std::uint64_t key = 0; key < 40; ++key) {
             a.pauses.push_back({.endpoint_key = key, .left = 6s});
           }
           const int before = b.told_of;
-          a.link.TellPauses();
+          a.link.ReportPauses();
           WaitUntil("all", [&] { return b.heard_pauses.size() == 40; });
           CPPUNIT_ASSERT(b.told_of <= before + 4);
         }),
@@ -220,14 +220,14 @@
           a.load.rows.resize(protocol::kMaxPeerHeartbeatRows,
                              {.load = {.requests = 1}});
           b.link.SetMembers({{"a", a.address}});
-          WaitUntil("loads", [&] { return b.heard.contains("a"); });
+          WaitUntil("loads", [&] { return b.received.contains("a"); });
           a.NoteEnds(kRequest);
           a.link.OnLoadChanged();
           WaitUntil("the request",
                     [&] { return b.crashes.Quarantined(kRequest, b.Now()); });
           CPPUNIT_ASSERT_EQUAL(
               protocol::kMaxPeerHeartbeatRows - protocol::kRowsPerCrash,
-              b.heard["a"].rows.size());
+              b.received["a"].rows.size());
         }),
      It("tell one that comes later of requests under which endpoints ended",
         [] {
@@ -251,9 +251,10 @@
           a.learned->figures[1] = {.value = 0.0625, .observations = 12};
           b.link.SetMembers({{"a", a.address}});
           WaitUntil("the forecast",
-                    [&] { return b.heard_forecast.has_value(); });
-          CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, b.heard_forecast->service_key);
-          CPPUNIT_ASSERT(b.heard_forecast->figures == a.learned->figures);
+                    [&] { return b.received_forecast.has_value(); });
+          CPPUNIT_ASSERT_EQUAL(std::uint64_t{4},
+                               b.received_forecast->service_key);
+          CPPUNIT_ASSERT(b.received_forecast->figures == a.learned->figures);
         }),
      It("hand over what one of them knows and the other does not",
         [] {
@@ -321,7 +322,7 @@
           Peer b("b", FreePort());
           b.link.SetMembers({{"a", a.address}});
           a.link.NoteStoreRead();
-          WaitUntil("loads", [&] { return b.heard.contains("a"); });
+          WaitUntil("loads", [&] { return b.received.contains("a"); });
           CPPUNIT_ASSERT(!b.link.PeersReadStore());
         }),
      It("know those of their own failure domain from the others",
@@ -333,9 +334,9 @@
           b.heartbeat.domain_key = placement::HashText("y");
           a.Tell(c);
           b.Tell(c);
-          WaitUntil("both", [&c] { return c.heard.size() == 2; });
-          CPPUNIT_ASSERT(c.heard["a"].near);
-          CPPUNIT_ASSERT(!c.heard["b"].near);
+          WaitUntil("both", [&c] { return c.received.size() == 2; });
+          CPPUNIT_ASSERT(c.received["a"].near);
+          CPPUNIT_ASSERT(!c.received["b"].near);
         }),
      It("of a hundred leave the reading of the store to two whose heartbeats "
         "are due",
--- a/src/once/claim_coordinator.h
+++ b/src/once/claim_coordinator.h
@@ -13,7 +13,7 @@
 #include "framework/global/random_source.h"
 #include "framework/global/types/enum_names.h"
 #include "framework/global/types/instant.h"
-#include "once/claim_book.h"
+#include "once/claim_table.h"
 
 namespace acacialug::once {
 
@@ -60,9 +60,9 @@
   std::size_t max_pending = 4096;
   Duration claim_timeout = 2s;  // then the waiting request is refused
   Duration long_poll = 10s;
-  Duration retry_first = 100ms;
-  Duration retry_most = 3s;
-  ClaimBook::Options book;
+  Duration min_retry = 100ms;
+  Duration max_retry = 3s;
+  ClaimTable::Options table;
 };
 
 // Claims keys on the platform's log for all shards of one process: group
@@ -95,7 +95,7 @@
   std::vector<CoordinatorAction> TakeActions();
 
   bool ready() const { return this->read_to_end && !this->truncated; }
-  const ClaimBook& book() const { return this->claim_book; }
+  const ClaimTable& table() const { return this->claim_table; }
   std::uint64_t appends() const { return this->append_count; }
 
  private:
@@ -114,12 +114,12 @@
   void AppendVoid(std::uint64_t batch);
   void OnVoidFailed(std::uint64_t voided, Instant now);
   void AppendDueVoids();
-  bool AnybodyWaits(std::uint64_t batch) const;
+  bool HasWaiters(std::uint64_t batch) const;
   void ReadNext(Duration wait);
 
   CoordinatorOptions options;
   RandomSource& random;
-  ClaimBook claim_book;
+  ClaimTable claim_table;
   std::map<ClaimToken, Waiting> waiting;
   // One timeout for all, so that deadlines come in the order of requests.
   std::deque<std::pair<Instant, ClaimToken>> deadlines;
--- a/src/once/claim_book.h
+++ b/src/once/claim_table.h
@@ -1,5 +1,5 @@
-#ifndef ONCE_CLAIM_BOOK_H_
-#define ONCE_CLAIM_BOOK_H_
+#ifndef ONCE_CLAIM_TABLE_H_
+#define ONCE_CLAIM_TABLE_H_
 
 #include <cstddef>
 #include <deque>
@@ -21,7 +21,7 @@
 // Keys are dropped `window` after this process read them; the log keeps its
 // records at least that long, and keys older than the window are refused
 // before they get here. Not thread safe; no I/O.
-class ClaimBook {
+class ClaimTable {
  public:
   struct Options {
     Duration window = 24h;
@@ -34,7 +34,7 @@
     Home home;
   };
 
-  explicit ClaimBook(Options book_options) : options(book_options) {}
+  explicit ClaimTable(Options table_options) : options(table_options) {}
 
   // Applies the record at `offset`; an offset already applied is ignored.
   // Precondition: no record between was left out. Any bytes may come; what is
@@ -70,4 +70,4 @@
 
 }  // namespace acacialug::once
 
-#endif  // ONCE_CLAIM_BOOK_H_
+#endif  // ONCE_CLAIM_TABLE_H_
--- a/src/once/internal/claim_coordinator.cc
+++ b/src/once/internal/claim_coordinator.cc
@@ -9,7 +9,7 @@
                                    RandomSource& random_source)
     : options(coordinator_options),
       random(random_source),
-      claim_book(this->options.book) {}
+      claim_table(this->options.table) {}
 
 void ClaimCoordinator::Start(Instant now) {
   this->read_at = now;
@@ -19,7 +19,7 @@
 void ClaimCoordinator::Request(ClaimToken token, Claim claim, Instant now) {
   claim.id = this->random.Next() | 1U;
   Waiting wish{.claim = std::move(claim)};
-  const ClaimBook::Holder* holder = this->claim_book.Find(wish.claim.key);
+  const ClaimTable::Holder* holder = this->claim_table.Find(wish.claim.key);
   const bool taken =
       holder != nullptr && !(wish.claim.replaces == holder->position);
   if (!this->ready() || this->waiting.size() >= this->options.max_pending) {
@@ -50,7 +50,7 @@
 }
 
 void ClaimCoordinator::SettleKnown(ClaimToken token, const Waiting& wish) {
-  const ClaimBook::Holder* holder = this->claim_book.Find(wish.claim.key);
+  const ClaimTable::Holder* holder = this->claim_table.Find(wish.claim.key);
   if (holder == nullptr) {
     this->Settle(token, ClaimVerdict::kUnavailable);
     return;
@@ -126,7 +126,7 @@
   this->Append(mark);
 }
 
-bool ClaimCoordinator::AnybodyWaits(std::uint64_t batch) const {
+bool ClaimCoordinator::HasWaiters(std::uint64_t batch) const {
   const auto found = this->in_flight.find(batch);
   return found != this->in_flight.end() &&
          std::any_of(found->second.begin(), found->second.end(),
@@ -140,14 +140,14 @@
 // The second try comes at once, further ones ever later: a log that is out
 // answers faster than a core can ask.
 void ClaimCoordinator::OnVoidFailed(std::uint64_t voided, Instant now) {
-  if (!this->AnybodyWaits(voided)) {
+  if (!this->HasWaiters(voided)) {
     this->in_flight.erase(voided);
     return;
   }
   this->read_at = std::min(this->read_at, now);
   const Duration pause = this->void_delay;
-  this->void_delay = std::clamp(2 * pause, this->options.retry_first,
-                                this->options.retry_most);
+  this->void_delay =
+      std::clamp(2 * pause, this->options.min_retry, this->options.max_retry);
   if (pause == Duration::zero()) {
     this->AppendVoid(voided);
     return;
@@ -159,7 +159,7 @@
 void ClaimCoordinator::AppendDueVoids() {
   this->void_at = kNever;
   for (const std::uint64_t batch : std::exchange(this->voids_due, {})) {
-    if (this->AnybodyWaits(batch)) {
+    if (this->HasWaiters(batch)) {
       this->AppendVoid(batch);
     } else {
       this->in_flight.erase(batch);
@@ -182,7 +182,7 @@
     return;
   }
   if (result.ok()) {
-    if (this->claim_book.HasBatch(batch)) {
+    if (this->claim_table.HasBatch(batch)) {
       this->SettleBatch(batch);
     } else if (!this->reading) {
       this->ReadNext(Duration{});
@@ -205,7 +205,7 @@
   this->reading = true;
   this->read_at = kNever;
   this->actions.emplace_back(ReadClaims{
-      .from = LogOffset(this->claim_book.applied_through().value + 1),
+      .from = LogOffset(this->claim_table.applied_through().value + 1),
       .wait = wait});
 }
 
@@ -214,14 +214,14 @@
   this->reading = false;
   if (!read.ok()) {
     this->retry_delay =
-        std::clamp(this->retry_delay * 2, this->options.retry_first,
-                   this->options.retry_most);
+        std::clamp(this->retry_delay * 2, this->options.min_retry,
+                   this->options.max_retry);
     this->read_at = now + FromSeconds(Seconds(this->retry_delay) *
                                       (0.5 + 0.5 * this->random.Unit()));
     return;
   }
   this->retry_delay = {};
-  const LogOffset through = this->claim_book.applied_through();
+  const LogOffset through = this->claim_table.applied_through();
   // A gap in what was read while serving: a claim in it may have been missed,
   // and a key run twice. This process claims nothing more; a fresh start
   // reads from the log's oldest record, which covers the stated window.
@@ -229,12 +229,12 @@
     this->truncated = true;
   }
   for (const cluster::ILog::Record& record : read->records) {
-    this->claim_book.Apply(record.offset, record.payload, now);
+    this->claim_table.Apply(record.offset, record.payload, now);
   }
   this->SettleInFlight();
   this->read_to_end =
       this->read_to_end || read->records.empty() ||
-      this->claim_book.applied_through().value + 1 >= read->next.value;
+      this->claim_table.applied_through().value + 1 >= read->next.value;
   this->ReadNext(this->read_to_end ? this->options.long_poll : Duration{});
 }
 
@@ -244,9 +244,9 @@
     batches.push_back(batch);
   }
   for (const std::uint64_t batch : batches) {
-    if (this->claim_book.HasBatch(batch)) {
+    if (this->claim_table.HasBatch(batch)) {
       this->SettleBatch(batch);
-    } else if (this->claim_book.IsVoid(batch)) {
+    } else if (this->claim_table.IsVoid(batch)) {
       this->RefuseBatch(batch);
     }
   }
--- a/src/once/internal/claim_book.cc
+++ b/src/once/internal/claim_table.cc
@@ -1,12 +1,12 @@
-#include "once/claim_book.h"
+#include "once/claim_table.h"
 
 #include <utility>
 
 namespace acacialug::once {
 
-void ClaimBook::Apply(LogOffset offset,
-                      const std::string& payload,
-                      Instant now) {
+void ClaimTable::Apply(LogOffset offset,
+                       const std::string& payload,
+                       Instant now) {
   if (offset <= this->through) {
     return;
   }
@@ -38,7 +38,7 @@
   this->aging.push_back(std::move(entry));
 }
 
-void ClaimBook::ApplyClaim(const ClaimPosition& position, const Claim& claim) {
+void ClaimTable::ApplyClaim(const ClaimPosition& position, const Claim& claim) {
   const auto found = this->holders.find(claim.key);
   if (found == this->holders.end()) {
     // A claim that replaces one which this log no longer holds is beyond the
@@ -60,20 +60,20 @@
   }
 }
 
-const ClaimBook::Holder* ClaimBook::Find(const WorkKey& key) const {
+const ClaimTable::Holder* ClaimTable::Find(const WorkKey& key) const {
   const auto found = this->holders.find(key);
   return found == this->holders.end() ? nullptr : &found->second;
 }
 
-bool ClaimBook::HasBatch(std::uint64_t batch_id) const {
+bool ClaimTable::HasBatch(std::uint64_t batch_id) const {
   return this->batches.contains(batch_id);
 }
 
-bool ClaimBook::IsVoid(std::uint64_t batch_id) const {
+bool ClaimTable::IsVoid(std::uint64_t batch_id) const {
   return this->voided.contains(batch_id);
 }
 
-void ClaimBook::DropOld(Instant now) {
+void ClaimTable::DropOld(Instant now) {
   while (!this->aging.empty() &&
          this->aging.front().read_at + this->options.window < now) {
     for (const WorkKey& key : this->aging.front().keys) {
--- a/src/once/tests/claim_coordinator_test.cc
+++ b/src/once/tests/claim_coordinator_test.cc
@@ -205,7 +205,7 @@
                CPPUNIT_ASSERT(ClaimVerdict::kUnavailable == entry.VerdictOf(1));
                log.Append(late.payload);
                other.Poll();
-               CPPUNIT_ASSERT(other.coordinator.book().Find(kKey) == nullptr);
+               CPPUNIT_ASSERT(other.coordinator.table().Find(kKey) == nullptr);
              }),
           It("are settled even if the void's own answer is lost as well",
              [] {
@@ -278,7 +278,7 @@
           CPPUNIT_ASSERT(ClaimVerdict::kUnavailable == entry.VerdictOf(1));
           entry.Append();  // took effect after all: the claim stands
           entry.Poll();
-          CPPUNIT_ASSERT(entry.coordinator.book().Find(kKey) != nullptr);
+          CPPUNIT_ASSERT(entry.coordinator.table().Find(kKey) != nullptr);
         }),
      It("move to another home only from the present holder's position",
         [] {
--- a/src/scale/internal/once_scale.cc
+++ b/src/scale/internal/once_scale.cc
@@ -43,10 +43,10 @@
   BookCost cost;
   const double heap = HeapBytes();
   const double begin = ThreadMicroseconds();
-  once::ClaimBook book({});
+  once::ClaimTable table({});
   std::uint64_t offset = 1;
   for (const std::string& payload : payloads) {
-    book.Apply(LogOffset(offset++), payload, Instant(1h));
+    table.Apply(LogOffset(offset++), payload, Instant(1h));
     cost.log_bytes += static_cast<double>(payload.size());
   }
   cost.microseconds = ThreadMicroseconds() - begin;
--- a/src/scenario/internal/agent_host.cc
+++ b/src/scenario/internal/agent_host.cc
@@ -37,7 +37,7 @@
                            ? world.kv_tokens
                            : 0,
           .slots = world.slots,
-          .order_turns = true,
+          .use_maintenance_queue = true,
           .rules = world.rules.agent};
 }
 
@@ -118,7 +118,7 @@
 }
 
 void AgentHost::FollowPeers(Instant now) {
-  const LogOffset heard = this->decisions->newest_manifest_heard();
+  const LogOffset heard = this->decisions->newest_reported_manifest();
   if (this->parts.options.rules.hear_of_manifests &&
       heard > this->manifests.follower().offset()) {
     this->manifests.follower().OnPeerOffset(heard, now);
@@ -144,7 +144,7 @@
 }
 
 void AgentHost::Pump() {
-  this->manifests.follower().SetAlone(this->decisions->alone(),
+  this->manifests.follower().SetAlone(this->decisions->has_no_sessions(),
                                       this->parts.queue.now());
   this->manifests.Pump();
   for (const agent::AgentAction& action : this->decisions->TakeActions()) {
@@ -198,7 +198,7 @@
       action.stream, action.from, Duration::zero(),
       [this, later = this->Later()](const Result<cluster::ILog::Read>& result) {
         later([this, result] {
-          this->decisions->OnTurnsRead(result, this->parts.queue.now());
+          this->decisions->OnMaintenanceRead(result, this->parts.queue.now());
         });
       });
 }
@@ -208,7 +208,8 @@
       action.stream, action.payload,
       [this, later = this->Later()](const Result<LogOffset>& result) {
         later([this, result] {
-          this->decisions->OnTurnAppended(result, this->parts.queue.now());
+          this->decisions->OnMaintenanceAppended(result,
+                                                 this->parts.queue.now());
         });
       });
 }
--- a/src/scenario/internal/scenario_script.cc
+++ b/src/scenario/internal/scenario_script.cc
@@ -311,9 +311,10 @@
       given.Return(this->Here().OrdersAt(given.Text(1)).out);
     });
     this->lua.Set("before", [this](LuaArguments& given) {
-      const auto before = this->Here().OrdersAt(given.Text(1)).before;
-      given.Return(before ? static_cast<std::int64_t>(*before)
-                          : std::int64_t{-1});
+      const auto members_ahead =
+          this->Here().OrdersAt(given.Text(1)).members_ahead;
+      given.Return(members_ahead ? static_cast<std::int64_t>(*members_ahead)
+                                 : std::int64_t{-1});
     });
     this->lua.Set("appends", [this](LuaArguments& given) {
       given.Return(static_cast<std::int64_t>(
--- a/src/scenario/internal/world_checks.cc
+++ b/src/scenario/internal/world_checks.cc
@@ -79,7 +79,7 @@
   const agent::OrderStatus status = agent->core().order_status();
   return status.out || this->engines.at(endpoint)->loading() ||
          (this->out.contains(endpoint) && !status.confirmed &&
-          status.wish != maintenance::MaintenanceIntent::kEnter);
+          status.intent != maintenance::MaintenanceIntent::kEnter);
 }
 
 void World::LookAtPools() {
--- a/src/scenario/tests/scenario_test.cc
+++ b/src/scenario/tests/scenario_test.cc
@@ -96,7 +96,7 @@
            {.entry = {.check_sequence = false}}},
           {"the turn before an order",
            "rolling_change",
-           {.agent = {.wait_for_turn = false}}}},
+           {.agent = {.wait_for_maintenance = false}}}},
          [](const RuleOff& row) { return row.rule; },
          [](const RuleOff& row) {
            const ScenarioResult without = RunNamed(row.scenario, row.rules);
--- a/src/standin/fakes/modelled_engine.cc
+++ b/src/standin/fakes/modelled_engine.cc
@@ -184,15 +184,16 @@
 void ModelledEngine::Run(const engine::Order& command) {
   const std::optional<EngineRole> role =
       ValueOf(kEngineRoleNames, command.role);
-  engine::OrderDone done{.fence = command.fence};
+  engine::OrderDone done{.fencing_token = command.fencing_token};
   if (!role) {
     done.code = ResultCode::kOrderRefused;
-  } else if (!this->model.ApplyOrder({.fence = command.fence.value,
-                                      .model = command.model.text,
-                                      .version = command.version,
-                                      .adapters = command.adapters,
-                                      .role = *role},
-                                     this->options.now())) {
+  } else if (!this->model.ApplyOrder(
+                 {.fencing_token = command.fencing_token.value,
+                  .model = command.model.text,
+                  .version = command.version,
+                  .adapters = command.adapters,
+                  .role = *role},
+                 this->options.now())) {
     done.code = ResultCode::kOrderFenced;
   }
   this->events.emplace_back(done);
@@ -201,7 +202,7 @@
 void ModelledEngine::Run(const engine::ReadState&) {
   const EngineState state = this->model.state(this->options.now());
   this->events.emplace_back(engine::EngineState{
-      .fence = LogOffset(state.order.fence),
+      .fencing_token = LogOffset(state.order.fencing_token),
       .model = ModelName(state.order.model),
       .version = state.order.version,
       .adapters = state.order.adapters,
--- a/src/standin/internal/engine_model.cc
+++ b/src/standin/internal/engine_model.cc
@@ -215,7 +215,8 @@
 bool EngineModel::ApplyOrder(const EngineOrder& order, Instant now) {
   Implementation& self = *this->implementation;
   const Instant inner = self.MoveTo(now);
-  if (self.options.checks_fencing && order.fence < self.order.fence) {
+  if (self.options.checks_fencing &&
+      order.fencing_token < self.order.fencing_token) {
     return false;
   }
   const bool replaced =
--- a/src/standin/internal/engine_reports.cc
+++ b/src/standin/internal/engine_reports.cc
@@ -27,7 +27,7 @@
 }
 
 json StateJson(const EngineState& state) {
-  return {{"fence", state.order.fence},
+  return {{"fence", state.order.fencing_token},
           {"model", state.order.model},
           {"version", state.order.version},
           {"adapters", state.order.adapters},
@@ -75,7 +75,7 @@
     return Error(ResultCode::kMalformedJson, "fence, role");
   }
   EngineOrder order{
-      .fence = static_cast<std::uint64_t>(IntegerOr(body, "fence", 0)),
+      .fencing_token = static_cast<std::uint64_t>(IntegerOr(body, "fence", 0)),
       .model = TextOr(body, "model", ""),
       .version = TextOr(body, "version", ""),
       .role = *role};
--- a/src/standin/tests/adapters_test.cc
+++ b/src/standin/tests/adapters_test.cc
@@ -169,20 +169,21 @@
         }),
      It("reads the state that its orders brought about", [] {
        ModelEngine engine("e");
-       const auto order = [&](std::uint64_t fence) {
+       const auto order = [&](std::uint64_t fencing_token) {
          return engine.agent
-             .Ask<engine::OrderDone>(engine::Order{.fence = LogOffset(fence),
-                                                   .model = ModelName("m"),
-                                                   .version = "2",
-                                                   .adapters = {"a@1"},
-                                                   .role = "decode"})
+             .Ask<engine::OrderDone>(
+                 engine::Order{.fencing_token = LogOffset(fencing_token),
+                               .model = ModelName("m"),
+                               .version = "2",
+                               .adapters = {"a@1"},
+                               .role = "decode"})
              .code;
        };
        CPPUNIT_ASSERT(order(5) == ResultCode::kOk);
        CPPUNIT_ASSERT(order(4) == ResultCode::kOrderFenced);
        const auto state =
            engine.agent.Ask<engine::EngineState>(engine::ReadState{});
-       CPPUNIT_ASSERT(state.fence == LogOffset(5) && state.loading);
+       CPPUNIT_ASSERT(state.fencing_token == LogOffset(5) && state.loading);
        CPPUNIT_ASSERT_EQUAL(std::string("2"), state.version);
        CPPUNIT_ASSERT_EQUAL(std::string("a@1"), state.adapters.at(0));
      })});
--- a/src/standin/tests/engine_model_test.cc
+++ b/src/standin/tests/engine_model_test.cc
@@ -404,7 +404,7 @@
      }},
     {"model_not_found",
      [](Bench& bench, EngineModel& engine) {
-       engine.ApplyOrder({.fence = 1, .model = "one"}, bench.now);
+       engine.ApplyOrder({.fencing_token = 1, .model = "one"}, bench.now);
        bench.RunFor(2s);
        EngineWork work = Stream("x", "p", 1);
        work.model = "two";
@@ -412,12 +412,13 @@
      }},
     {"loading",
      [](Bench& bench, EngineModel& engine) {
-       engine.ApplyOrder({.fence = 1, .model = "one"}, bench.now);
+       engine.ApplyOrder({.fencing_token = 1, .model = "one"}, bench.now);
        engine.Submit(Stream("x", "p", 1), bench.now);
      }},
     {"wrong_role",
      [](Bench& bench, EngineModel& engine) {
-       engine.ApplyOrder({.fence = 1, .role = EngineRole::kPrefill}, bench.now);
+       engine.ApplyOrder({.fencing_token = 1, .role = EngineRole::kPrefill},
+                         bench.now);
        engine.Submit(Stream("x", "p", 1), bench.now);
      }},
     {"refused",
@@ -443,7 +444,7 @@
     {"model_replaced",
      [](Bench& bench, EngineModel& engine) {
        engine.Submit(Stream("x", "p", 4), bench.now);
-       engine.ApplyOrder({.fence = 1, .version = "2"}, bench.now);
+       engine.ApplyOrder({.fencing_token = 1, .version = "2"}, bench.now);
      }},
     {"restarted",
      [](Bench& bench, EngineModel& engine) {
@@ -520,8 +521,10 @@
             EngineOptions options = Simple(EngineRole::kDecode);
             options.checks_fencing = checks;
             EngineModel& engine = bench.Alone(options);
-            const EngineOrder newer{.fence = 7, .model = "m", .version = "2"};
-            const EngineOrder older{.fence = 6, .model = "m", .version = "1"};
+            const EngineOrder newer{
+                .fencing_token = 7, .model = "m", .version = "2"};
+            const EngineOrder older{
+                .fencing_token = 6, .model = "m", .version = "1"};
             CPPUNIT_ASSERT(engine.ApplyOrder(newer, bench.now));
             CPPUNIT_ASSERT(engine.state(bench.now).loading);
             bench.RunFor(2s);
--- a/src/standin/tests/engine_server_test.cc
+++ b/src/standin/tests/engine_server_test.cc
@@ -188,10 +188,11 @@
      It("answers an old order with a conflict, and keeps its state",
         [] {
           Engine engine;
-          const auto order = [&](int fence, const std::string& version) {
+          const auto order = [&](int fencing_token,
+                                 const std::string& version) {
             return engine.caller.Call(
                 engine.server.address(), "POST", "/orders",
-                json{{"fence", fence}, {"version", version}}.dump());
+                json{{"fence", fencing_token}, {"version", version}}.dump());
           };
           CPPUNIT_ASSERT_EQUAL(200, order(5, "b")->status);
           const AnswerPtr old = order(4, "a");
--- a/src/standin/types/engine_messages.h
+++ b/src/standin/types/engine_messages.h
@@ -123,7 +123,7 @@
 };
 
 struct EngineOrder {
-  std::uint64_t fence = 0;
+  std::uint64_t fencing_token = 0;
   std::string model;
   std::string version;
   std::vector<std::string> adapters;
