--- a/src/agent/tests/agent_bench.cc
+++ b/src/agent/tests/agent_bench.cc
@@ -7,7 +7,7 @@
 namespace acacialug::agent {
 namespace {
 
-AgentOptions Complete(AgentOptions options) {
+AgentOptions WithIdentity(AgentOptions options) {
   options.endpoint = EndpointId("x");
   options.incarnation = kHome;
   return options;
@@ -18,14 +18,15 @@
          (id.attempt.value == 1 ? "" : "." + std::to_string(id.attempt.value));
 }
 
-// In the order of the variants; empty for what a trace leaves out.
+// These are in the order of the variants. An empty text marks a kind that a
+// trace omits.
 constexpr const char* kMessages[] = {
     "welcome", "",      "reserved", "refused",  "prefilled",
     "chunk",   "ended", "failed",   "answered", "leaving"};
 constexpr const char* kCommands[] = {"prefill", "decode", "abort", "pause",
                                      "call",    "",       "order", "read"};
 
-// What tells one action of a kind from another.
+// Describes the fields by which a trace distinguishes actions of one kind.
 template <typename T>
 std::string Details(const T& action) {
   std::ostringstream text;
@@ -55,7 +56,7 @@
   return text.str();
 }
 
-// Empty for what a trace leaves out.
+// The text is empty for an action that a trace omits.
 template <typename Variant, std::size_t kKinds>
 std::string Describe(const Variant& action,
                      const char* const (&kinds)[kKinds]) {
@@ -77,7 +78,7 @@
 }  // namespace
 
 AgentBench::AgentBench(AgentOptions options, bool ready)
-    : core(Complete(std::move(options)), this->random) {
+    : core(WithIdentity(std::move(options)), this->random) {
   this->core.Start(this->now);
   if (ready) {
     this->Deliver(engine::Held{});
--- a/src/agent/tests/agent_bench.h
+++ b/src/agent/tests/agent_bench.h
@@ -21,13 +21,13 @@
 using protocol::Outcome;
 
 inline constexpr Incarnation kHome{500};   // of the agent under test
-inline constexpr Incarnation kEntry{100};  // of the entry that talks to it
+inline constexpr Incarnation kEntry{100};  // of its entry
 inline constexpr SessionId kSession{1};
 inline constexpr Instant kNow{1000s};
 
-// An attempt by the numbers of its request and of itself.
+// An attempt, identified by its request number and its attempt number.
 struct Attempt : AttemptId {
-  Attempt(std::uint64_t number_of_request,  // NOLINT: a number is a name here
+  Attempt(std::uint64_t number_of_request,  // NOLINT: implicit from a number
           std::uint64_t number = 1,
           Incarnation by = kEntry) {
     this->request = {number_of_request, number_of_request};
@@ -38,7 +38,8 @@
 
 using Attempts = std::vector<AttemptId>;
 
-// A core in virtual time with one entry connected and the engine listed.
+// A core in virtual time. One entry is connected, and the engine has listed its
+// attempts.
 class AgentBench {
  public:
   explicit AgentBench(AgentOptions options, bool ready = true);
@@ -46,34 +47,34 @@
   void Connect(SessionId session, Incarnation entry, const char* id = "e1");
   void Send(const protocol::EntryToAgent& message, SessionId by = kSession);
   void Deliver(const engine::EngineEvent& event);
-  // Lets time pass, with every timer at its instant; renews if asked to.
+  // Advances the time and runs every timer at its instant. Renews the session
+  // if `renew` is set.
   void AdvanceBy(Duration duration, bool renew = true);
 
-  // What the core did since the last call, in order, as short text: the
-  // attempt's numbers, and what tells one such action from another. Without
-  // renewals and listings.
+  // Returns the actions of the core since the last call, in order, as short
+  // text: the numbers of the attempt, and the fields by which actions of one
+  // kind differ. Renewals and listings are omitted.
   std::string Trace();
 
   RandomSource random{1};
   Instant now = kNow;
   AgentCore core;
-  std::vector<AttemptId> in_engine;  // what a listing shows
-  std::size_t listings = 0;          // asked for in the last Trace
+  std::vector<AttemptId> in_engine;  // the engine lists these
+  std::size_t listings = 0;          // requested since the last Trace
 
  private:
   std::string trace;
   void Collect();
 };
 
-// ---- steps of a test ----
-
 using Step = std::function<void(AgentBench&)>;
 
-// Steps in order; `+` puts more behind them.
+// A sequence of steps; `+` appends to it.
 class Steps {
  public:
   Steps() = default;
-  Steps(Step step) : list{std::move(step)} {}  // NOLINT: a step is steps
+  Steps(Step step)
+      : list{std::move(step)} {}  // NOLINT: a step converts to a sequence
 
   Steps operator+(const Steps& more) const;
   void Play(AgentBench& bench) const;
@@ -85,7 +86,7 @@
 Steps Sends(const protocol::EntryToAgent& message, SessionId by = kSession);
 Steps EngineReports(const engine::EngineEvent& event);
 Steps Advances(Duration duration, bool renew = true);
-Steps Stalls(Duration duration);  // no timer runs meanwhile
+Steps Stalls(Duration duration);  // runs no timer
 Steps Connects(SessionId session, Incarnation entry, const char* id = "e1");
 Steps Opens(SessionId session);  // without a Hello
 Steps Drops(SessionId session = kSession);
@@ -107,8 +108,8 @@
 Steps CallEnds(Attempt attempt);
 Steps Fails(Attempt attempt, Outcome outcome = Outcome::kUnknown);
 
-// What happens to one agent, the whole trace of it, and how many attempts
-// hold something in the end.
+// The steps that one agent goes through, its whole trace, and the number of
+// attempts that hold a resource at the end.
 struct TraceCase {
   std::string name;
   AgentOptions options;
@@ -121,7 +122,7 @@
 testing::Section TraceCases(std::string name,
                             std::vector<TraceCase> trace_cases);
 
-// A leaf for each row of a table whose rows have a `name`.
+// Makes one test for each row of a table whose rows have a `name`.
 template <typename Row>
 testing::Section Cases(std::string name,
                        std::vector<Row> rows,
--- a/src/agent/tests/agent_core_test.cc
+++ b/src/agent/tests/agent_core_test.cc
@@ -14,8 +14,8 @@
 constexpr SessionId kOther{2};
 constexpr Incarnation kSuccessor{101};
 
-// Something that Attempt(1) holds at an agent of the right role, the trace of
-// its start, and of freeing it.
+// A resource that Attempt(1) holds at an agent of the right role, with the
+// trace of its start and the trace of its release.
 struct Holding {
   std::string name;
   AgentOptions options;
@@ -34,11 +34,12 @@
     {"a call", Plain(), Calls(1), "call 1", "abort 1, "},
 };
 
-// Symptom of each row: memory or a slot stays taken for nobody.
+// Each row guards against memory or a slot that stays taken although no request
+// uses it.
 struct End {
   std::string name;
   Steps steps;
-  std::string before;  // the trace around the freeing
+  std::string before;  // the trace before the release
   std::string after;
 };
 
@@ -50,7 +51,7 @@
      "close superseded, ", "welcome, "},
     {"its session is not renewed", Stalls(3s) + Advances(1us, false),
      "close heartbeat_lost, "},
-    {"the agent wakes from a pause, and the renewal comes only then",
+    {"the agent resumes after a stall, and the renewal arrives only then",
      Stalls(4s) + Sends(protocol::Renew{.incarnation = kEntry}),
      "close heartbeat_lost, "},
     {"its connection breaks the protocol",
@@ -61,7 +62,7 @@
   return Cases<End>(
       holding.name + " is freed when", kEnds, [holding](const End& end) {
         const Steps late = Texts(1) + StreamEnds(1) + CallEnds(1) + Fails(1);
-        Holding lasting = holding;  // an export that does not lapse meanwhile
+        Holding lasting = holding;  // the export does not lapse during the test
         lasting.options.export_lifetime = 9s;
         const std::string trace =
             holding.started + ", " + end.before + holding.freed + end.after;
@@ -77,7 +78,7 @@
   return sections;
 }());
 
-// Plays the holding's steps (twice) between others.
+// Plays the steps of the holding, once or twice, between `before` and `after`.
 Section StartedBetween(std::string name,
                        const Steps& before,
                        const Steps& after,
@@ -90,7 +91,8 @@
   });
 }
 
-// The second step of an export is the engine's, and nobody waits for it.
+// The second step of an export comes from the engine, and no request waits for
+// it.
 std::function<std::string(const Holding&)> RefusedAs(const std::string& code) {
   return [code](const Holding& row) {
     const std::string refused = "refused 1 " + code;
@@ -102,7 +104,8 @@
 
 const testing::Story kStarts(
     "an attempt's start",
-    {// Repeating a reservation is harmless and answered; the rest is dropped.
+    {// A repeated reservation is harmless and is answered. Every other repeated
+     // start is dropped.
      StartedBetween(
          "delivered twice runs once:",
          {},
@@ -112,8 +115,8 @@
          },
          1,
          true),
-     // Symptom: work runs that nobody waits for. Sequence: the start is
-     // delayed, its cancel comes first.
+     // Guards against work that runs although no request waits for it: the
+     // start is delayed, and its cancel arrives first.
      StartedBetween("overtaken by its cancel is refused:",
                     Cancels(1),
                     {},
@@ -130,7 +133,7 @@
                     {},
                     RefusedAs("draining")),
      StartedBetween(
-         "is not touched by another entry's cancel:",
+         "is not affected by another entry's cancel:",
          Connects(kOther, kSuccessor, "e2"),
          Sends(protocol::Cancel{Attempt(1)}, kOther) +
              Sends(protocol::Cancel{Attempt(1, 1, kSuccessor)}, kOther),
@@ -153,7 +156,7 @@
   Steps steps;
 };
 
-// Each row leaves something held that the rule would have prevented.
+// Each row leaves a resource held that the rule would have released or refused.
 const testing::Story kRules(
     "without its rule",
     {Cases<RuleCase>("an agent lets",
@@ -179,7 +182,7 @@
                        }
                      })});
 
-AgentOptions With(const std::function<void(AgentOptions&)>& change) {
+AgentOptions DecoderWith(const std::function<void(AgentOptions&)>& change) {
   AgentOptions options = Decoder();
   change(options);
   return options;
@@ -194,140 +197,148 @@
         {{"streams an answer under a reservation and frees its memory",
           Decoder(), Reserves(1) + Streams(1) + Texts(1, 2) + StreamEnds(1),
           "reserved 1, decode 1, chunk 1:0, chunk 1:1, ended 1:2"},
-         // Symptom: prefills are done for nothing. Sequence: the prefill
-         // runs, then the engine turns out to be full.
+         // Guards against wasted prefills: the prefill runs, and only then the
+         // engine turns out to be full.
          {"starts no stream without a reservation", Decoder(), Streams(1),
           "refused 1 no_decode_memory"},
-         {"nor under a promise to others", Decoder(kPromise), Streams(1),
-          "refused 1 no_decode_memory"},
-         {"starts one on the spot where reserving comes late",
+         {"starts no stream without a reservation where the policy is to "
+          "promise",
+          Decoder(kPromise), Streams(1), "refused 1 no_decode_memory"},
+         {"starts a stream at once where reservations come after the prefill",
           Decoder(ReservationPolicy::kNone, 1), Streams(1) + Streams(2),
           "decode 1, refused 2 no_decode_memory", 1},
          {"lets an unused reservation lapse", Decoder(),
           Reserves(1) + Advances(30s) + Streams(1),
           "reserved 1, refused 1 no_decode_memory"},
-         {"gives the room back when no transfer window is free",
+         {"releases the memory when no transfer window is free",
           Decoder(ReservationPolicy::kHold, 2, 1000),
           Reserves(1, 700) + Reserves(2, 700) + Reserves(3),
           "reserved 1, refused 2 link_busy, reserved 3", 2},
-         // Symptom: a promised stream is refused although its prefill is
-         // done. Sequence: an earlier one outlasts its prediction by little.
+         // Guards against the refusal of a promised stream whose prefill is
+         // done: an earlier stream outlasts its predicted end by a short time.
          {"starts a promised stream once the late one ends",
           Decoder(kPromise, 1),
           Reserves(1) + Streams(1) + Reserves(2) + Advances(400ms) +
               Streams(2) + StreamEnds(1),
           "reserved 1, decode 1, reserved 2 in 300, ended 1:0, decode 2", 1},
-         {"or refuses it while its export still lives elsewhere",
+         {"refuses a promised stream while its export is alive elsewhere",
           Decoder(kPromise, 1),
           Reserves(1) + Streams(1) + Reserves(2) + Advances(400ms) +
               Streams(2) + Advances(800ms),
           "reserved 1, decode 1, reserved 2 in 300, refused 2 no_decode_memory",
           1},
-         {"pauses the engine for a slow reader, not taking it for a stall",
+         {"pauses the engine for a slow reader and does not treat it as a "
+          "stall",
           Decoder(),
           Reserves(1) + Streams(1, 2) + Texts(1, 4) + Advances(60s) +
               Acknowledges(1, 1) + Acknowledges(1, 3),
           "reserved 1, decode 1, chunk 1:0, chunk 1:1, pause 1, chunk 1:2, "
           "chunk 1:3, pause 1 off",
           1},
-         {"keeps what the reader has not taken, but no memory, after the end",
+         {"keeps the unread chunks, but no memory, after the end of a stream",
           Decoder(),
           Reserves(1) + Streams(1, 2) + Texts(1, 3) + StreamEnds(1) +
               Acknowledges(1, 0),
           "reserved 1, decode 1, chunk 1:0, chunk 1:1, pause 1, chunk 1:2, "
           "ended 1:3"},
-         {"gives up a stream that the engine lets stall", Decoder(),
+         {"fails a stream that stalls in the engine", Decoder(),
           Reserves(1) + Streams(1) + Advances(3s) + Texts(1) + Advances(5s),
           "reserved 1, decode 1, chunk 1:0, failed 1 engine_failed unknown, "
           "abort 1"},
-         // Symptom: requests sent to an engine that stands still miss their
-         // first token, though others had room. Sequence: it stops in the
-         // middle of its streams, and its free places look like any other's.
-         // Cause: nothing told of it before a stream's own timeout.
-         {"gives an engine no more work while it makes no token", Decoder(),
+         // Guards against requests that miss their first-token target at a
+         // stalled engine while other engines have capacity: the engine stalls
+         // in the middle of its streams, and its free slots look like those of
+         // any other engine until the timeout of a stream itself.
+         {"gives an engine no more work while it produces no token", Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Stalls(299ms) +
               Reserves(3) + Stalls(1ms) + Reserves(4) + Streams(2),
           "reserved 1, reserved 2, decode 1, chunk 1:0, reserved 3, "
           "refused 4 no_decode_memory, refused 2 no_decode_memory",
           2},
-         {"and goes on with the next token", Decoder(),
+         {"gives the engine work again after the next token", Decoder(),
           Reserves(1) + Streams(1) + Texts(1) + Advances(1s) + Reserves(2) +
               Texts(1) + Reserves(3),
           "reserved 1, decode 1, chunk 1:0, refused 2 no_decode_memory, "
           "chunk 1:1, reserved 3",
           2},
-         {"but waits longer for a first token, which may wait for its import",
+         {"waits longer for a first token, which may wait for its import",
           Decoder(),
           Reserves(1) + Streams(1) + Advances(1099ms) + Reserves(2) +
               Advances(1ms) + Reserves(3),
           "reserved 1, decode 1, reserved 2, refused 3 no_decode_memory", 2},
-         // Agents that had stood still for a second refused every reservation
-         // that came meanwhile, though their engines had made tokens all the
-         // time: sessions were read before the engine's stream, and the time
-         // in which the agent did not listen counted as the engine's silence.
-         {"nor for silence that is the agent's own standstill", Decoder(),
+         // Guards against an agent that refuses every reservation after its own
+         // process stall of a second although its engine produced tokens
+         // throughout: sessions are read before the stream of the engine, so
+         // the time of the stall must not count towards the timeout of the
+         // engine.
+         {"does not count its own process stall as a timeout of the engine",
+          Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Stalls(1s) +
               Reserves(3) + Streams(2) + Texts(1),
           "reserved 1, reserved 2, decode 1, chunk 1:0, reserved 3, decode 2, "
           "chunk 1:1",
           3},
-         {"nor for a first token that did not come during it", Decoder(),
-          Reserves(1) + Streams(1) + Stalls(1200ms) + Reserves(2),
+         {"does not count its own process stall against a first token",
+          Decoder(), Reserves(1) + Streams(1) + Stalls(1200ms) + Reserves(2),
           "reserved 1, decode 1, reserved 2", 2},
-         {"but refuses work when the engine is silent after it, too", Decoder(),
+         {"refuses work when the engine is unresponsive after the stall, too",
+          Decoder(),
           Reserves(1) + Streams(1) + Texts(1) + Stalls(1s) + Reserves(2) +
               Advances(300ms) + Reserves(3),
           "reserved 1, decode 1, chunk 1:0, reserved 2, "
           "refused 3 no_decode_memory",
           2},
-         // Without this an agent on a busy processor would never find its
-         // engine silent.
-         {"also when the agent stands still again and again", Decoder(),
+         // Otherwise an agent on a busy processor would never find its engine
+         // unresponsive.
+         {"refuses work for an unresponsive engine despite repeated stalls",
+          Decoder(),
           Reserves(1) + Streams(1) + Texts(1) + Stalls(500ms) + Reserves(2) +
               Stalls(500ms) + Reserves(3),
           "reserved 1, decode 1, chunk 1:0, reserved 2, "
           "refused 3 no_decode_memory",
           2},
-         {"nor while its only reader is slow", Decoder(),
+         {"takes work while its only reader is slow", Decoder(),
           Reserves(1) + Streams(1, 1) + Texts(1, 2) + Stalls(2s) + Reserves(2),
           "reserved 1, decode 1, chunk 1:0, pause 1, reserved 2", 2},
-         // Symptom: a request whose export is alive misses its first token.
-         // Sequence: its stream is started, and the engine stands still.
-         {"gives up a start whose export still lives when the engine is silent",
+         // Guards against a request that misses its first-token target although
+         // its export is alive: its stream is started, and then the engine
+         // stalls.
+         {"fails a start whose export is alive when the engine is unresponsive",
           Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Streams(2) +
               Advances(299ms) + Advances(1ms),
           "reserved 1, reserved 2, decode 1, chunk 1:0, decode 2, "
           "failed 2 engine_failed unknown, abort 2",
           1},
-         {"but not while other streams get their tokens", Decoder(),
+         {"keeps a start while other streams get their tokens", Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Streams(2) +
               Advances(200ms) + Texts(1) + Advances(299ms) + Texts(1) +
               Advances(299ms) + Texts(2),
           "reserved 1, reserved 2, decode 1, chunk 1:0, decode 2, chunk 1:1, "
           "chunk 1:2, chunk 2:0",
           2},
-         {"nor after a pause of its own", Decoder(),
+         {"keeps a start after its own process stall", Decoder(),
           Reserves(1) + Reserves(2) + Streams(1) + Texts(1) + Streams(2) +
               Stalls(400ms) + Advances(1ms) + Texts(1) + Texts(2),
           "reserved 1, reserved 2, decode 1, chunk 1:0, decode 2, chunk 1:1, "
           "chunk 2:0",
           2},
-         {"does not blame the engine for its own pause",
-          With([](AgentOptions& o) { o.session_lease = 1h; }),
+         {"does not fail a stream because of its own process stall",
+          DecoderWith([](AgentOptions& o) { o.session_lease = 1h; }),
           Reserves(1) + Streams(1) + Stalls(9s) + Texts(1),
           "reserved 1, decode 1, chunk 1:0", 1},
-         {"passes on what the engine says of a failure", Decoder(),
-          Reserves(1) + Streams(1) + Fails(1, Outcome::kNotRun),
+         {"forwards the outcome that the engine reports for a failure",
+          Decoder(), Reserves(1) + Streams(1) + Fails(1, Outcome::kNotRun),
           "reserved 1, decode 1, failed 1 engine_failed not_run"},
          {"refuses work of another role", Decoder(), Prefills(1) + Calls(2),
           "refused 1 wrong_role, refused 2 wrong_role"},
-         {"lets run what is reserved when it leaves", Decoder(),
+         {"lets a reserved stream start and run while the agent drains",
+          Decoder(),
           Reserves(1) + Drains() + Drains() + Streams(1) +
               Connects(kOther, kEntry),
           "reserved 1, leaving, decode 1, welcome, leaving", 1},
-         {"cuts what still runs when its grace is over, as unknown",
-          With([](AgentOptions& o) { o.drain_grace = 4s; }),
+         {"fails the remaining streams as unknown when the drain grace ends",
+          DecoderWith([](AgentOptions& o) { o.drain_grace = 4s; }),
           Reserves(1) + Streams(1) + Reserves(2) + Drains() + Advances(4s),
           "reserved 1, decode 1, reserved 2, leaving, failed 1 endpoint_lost "
           "unknown, abort 1, refused 2 draining"}})});
@@ -337,11 +348,11 @@
     {TraceCases("",
                 {{"begins with a Hello or ends", Decoder(),
                   Opens(kOther) + Sends(protocol::Cancel{Attempt(1)}, kOther) +
-                      Sends(protocol::Hello{}, kOther),  // already forgotten
+                      Sends(protocol::Hello{}, kOther),  // already closed
                   "close bad_frame"},
                  {"cannot be about another entry's attempts", Decoder(),
                   Reserves({1, 1, kSuccessor}), "refused 1 superseded"}}),
-     It("follows the manifest's bounds and its wish to leave, never an older",
+     It("follows the bounds and the leaving state of the newest manifest only",
         [] {
           AgentBench bench(Decoder());
           const auto check = [&](const Steps& steps, bool leaving,
@@ -354,14 +365,15 @@
           check(Manifests(4, false, 9), true, 7);
           check(Manifests(6, false), false, 7);
           check(Drains(), true, 7);
-          check(Manifests(7, false), true, 7);  // the process's wish stays
+          check(Manifests(7, false), true, 7);  // the drain stays in effect
           CHECK(bench.core.drained());
           bench.Send(
               protocol::Renew{.incarnation = kEntry, .manifest = LogOffset(8)});
           CHECK(bench.core.newest_reported_manifest() == LogOffset(8));
-          // Symptom: agents went on under an old manifest for half a minute.
-          // Sequence: one entry names an offset that never comes, the others
-          // the next one. Cause: only what was higher than all was passed on.
+          // Guards against agents that keep an old manifest for half a minute:
+          // an entry names an offset that never comes, and the others name the
+          // next one. An agent that forwards only an offset above all earlier
+          // ones ignores the latter.
           bench.Send(protocol::Renew{.incarnation = kEntry,
                                      .manifest = LogOffset(1'000'000)});
           bench.Send(
@@ -390,7 +402,7 @@
            Decoder(),
            Reserves(1) + Streams(1) + StreamEnds(1),
            {}},
-          {"a prefill, and one that waits",
+          {"a prefill, and a queued prefill",
            Prefiller(),
            Prefills(1) + Prefills(2),
            {HeldKind::kQueuedPrefill, HeldKind::kPrefill}},
@@ -398,7 +410,7 @@
            Prefiller(),
            Prefills(1) + PrefillEnds(1),
            {HeldKind::kExport}},
-          {"a call, and one that waits",
+          {"a call, and a queued call",
            Plain(),
            Calls(1) + Calls(2),
            {HeldKind::kQueuedCall, HeldKind::kCall}}},
--- a/src/agent/tests/decode_memory_test.cc
+++ b/src/agent/tests/decode_memory_test.cc
@@ -17,7 +17,7 @@
                        .reservation_limit = 30s});
 }
 
-// A stream of 100 tokens is predicted to end in each of `ends`.
+// Each stream has 100 tokens, and `ends` holds the predicted ends.
 DecodeMemory Running(ReservationPolicy policy, std::vector<Duration> ends) {
   DecodeMemory memory = MemoryOf(policy);
   for (std::uint64_t i = 0; i < ends.size(); ++i) {
@@ -28,19 +28,19 @@
 }
 
 template <typename... Ends>
-std::vector<Duration> In(Ends... ends) {
+std::vector<Duration> EndsIn(Ends... ends) {
   return {ends...};
 }
-DecodeMemory::Need Of(std::uint64_t tokens,
-                      Duration ready_in = 0s,
-                      Duration start_within = 0s) {
+DecodeMemory::Need NeedOf(std::uint64_t tokens,
+                          Duration ready_in = 0s,
+                          Duration start_within = 0s) {
   return {tokens, ready_in, start_within};
 }
 
 struct ReserveCase {
   std::string name;
   ReservationPolicy policy;
-  std::vector<Duration> running;  // predicted ends
+  std::vector<Duration> running;  // predicted ends of the running streams
   DecodeMemory::Need need;
   bool granted;
   Duration when;  // granted: available_in; else retry_after
@@ -49,23 +49,24 @@
 const testing::Story kMemory(
     "a decode memory",
     {Cases<ReserveCase>(
-         "asked for room",
-         {{"holds what is free", kHold, In(1s), Of(200), true},
+         "asked for a reservation",
+         {{"holds what is free", kHold, EndsIn(1s), NeedOf(200), true},
           {"refuses without a slot until the first stream ends", kHold,
-           In(4s, 2s), Of(100, 0s, 10s), false, 2s},
+           EndsIn(4s, 2s), NeedOf(100, 0s, 10s), false, 2s},
           {"refuses without the tokens until enough streams end", kHold,
-           In(4s, 2s), Of(300, 0s, 10s), false, 4s},
-          {"gives no advice for what never fits", kHold, In(), Of(301), false},
-          {"holds also when the prefill comes first", kNone, In(1s), Of(200),
-           true},
-          {"promises the first predicted end", kPromise, In(4s, 2s),
-           Of(100, 0s, 3s), true, 2s},
-          {"promises no earlier than the prefill is done", kPromise, In(4s, 2s),
-           Of(100, 3s, 3s), true, 3s},
-          {"does not promise beyond the latest start", kPromise, In(4s, 2s),
-           Of(100, 0s, 1s), false, 2s},
-          {"shortly expects a stream past its predicted end", kHold,
-           In(-5s, 9s), Of(100), false, 20ms}},
+           EndsIn(4s, 2s), NeedOf(300, 0s, 10s), false, 4s},
+          {"gives no retry time for a request that never fits", kHold, EndsIn(),
+           NeedOf(301), false},
+          {"holds also when the prefill comes first", kNone, EndsIn(1s),
+           NeedOf(200), true},
+          {"promises the first predicted end", kPromise, EndsIn(4s, 2s),
+           NeedOf(100, 0s, 3s), true, 2s},
+          {"promises no earlier than the prefill is done", kPromise,
+           EndsIn(4s, 2s), NeedOf(100, 3s, 3s), true, 3s},
+          {"does not promise beyond the latest start", kPromise, EndsIn(4s, 2s),
+           NeedOf(100, 0s, 1s), false, 2s},
+          {"expects a stream past its predicted end to end soon", kHold,
+           EndsIn(-5s, 9s), NeedOf(100), false, 20ms}},
          [](const ReserveCase& row) {
            DecodeMemory memory = Running(row.policy, row.running);
            const auto answer = memory.Reserve(Attempt(9), row.need, kNow);
@@ -75,7 +76,7 @@
                (row.granted ? answer.available_in : answer.retry_after)
                    .count());
          }),
-     It("does not promise the same room twice",
+     It("does not promise the same capacity twice",
         [] {
           DecodeMemory memory = Running(kPromise, {2s, 4s});
           const DecodeMemory::Need need{.kv_tokens = 100, .start_within = 9s};
@@ -105,9 +106,9 @@
           memory.Release(Attempt(1), kNow);
           CHECK(memory.free_tokens() == 300);
         }),
-     // Symptom: an endpoint fills up with reservations that nobody uses.
-     // Sequence: an entry reserves, and its prefill never ends. Cause: a
-     // reservation had no end of its own.
+     // Guards against an endpoint that fills up with unused reservations: an
+     // entry reserves, and its prefill never ends, so a reservation needs a
+     // time limit of its own.
      It("lets an unused reservation lapse, but not a running stream",
         [] {
           DecodeMemory memory = Running(kHold, {99s});
@@ -118,7 +119,7 @@
           CHECK(memory.StartStream(Attempt(2), 100, kNow, kNow) ==
                 Start::kNotReserved);
         }),
-     It("covers a longer stream than was reserved only from free room",
+     It("covers a longer stream than was reserved only from free memory",
         [] {
           DecodeMemory memory = Running(kHold, {9s});
           memory.Reserve(Attempt(2), {100}, kNow);
@@ -138,7 +139,7 @@
        CHECK(!memory.Reserve(Attempt(3), {1}, kNow).granted);
      })});
 
-struct BookCase {
+struct WindowCase {
   std::string name;
   std::uint64_t booked;  // bytes, ready at once
   std::uint64_t bytes;
@@ -147,21 +148,24 @@
   Duration retry_after{};
 };
 
-// 1000 bytes a second: a byte takes a millisecond.
+// At 1000 bytes per second, a byte takes a millisecond.
 const testing::Story kLink(
     "a transfer link",
-    {Cases<BookCase>(
+    {Cases<WindowCase>(
          "asked for a window",
          {{"grants the first", 0, 700, 1s, true},
-          {"queues what still ends within the export's life", 400, 400, 0s,
-           true},
-          {"refuses what would end after it", 400, 500, 0s, false, 100ms},
+          {"queues a transfer that ends within the export's lifetime", 400, 400,
+           0s, true},
+          {"refuses a transfer that would end after that lifetime", 400, 500,
+           0s, false, 100ms},
           {"finds the gap before a later window", 100, 1000, 1s, true},
-          {"begins a transfer longer than that life at once", 0, 5000, 0s,
+          {"begins a transfer that exceeds the lifetime at once", 0, 5000, 0s,
            true},
-          {"or not at all", 1, 5000, 0s, false, 1ms},
-          {"asks nothing of a request without a transfer", 800, 0, 0s, true}},
-         [](const BookCase& row) {
+          {"refuses a transfer that exceeds the lifetime and would have to "
+           "wait",
+           1, 5000, 0s, false, 1ms},
+          {"grants a request without a transfer", 800, 0, 0s, true}},
+         [](const WindowCase& row) {
            TransferLink link(
                {.bytes_per_second = 1000, .export_lifetime = 800ms});
            CHECK(link.Book(Attempt(1), row.booked, 0s, kNow).granted);
@@ -170,10 +174,12 @@
            CPPUNIT_ASSERT_EQUAL(row.granted, answer.granted);
            CHECK(answer.retry_after == row.retry_after);
          }),
-     // Symptom: after a decode endpoint died, finished prefills are evicted.
-     // Sequence: their reservations were lost, and the other links are booked
-     // for prefills still to be computed. Cause: first come, first served.
-     It("lets what is ready go before what will be, and not before its like",
+     // Guards against the eviction of finished prefills after the loss of a
+     // decode endpoint: their reservations are lost, and in the order of
+     // arrival the windows of the other links would belong to prefills that are
+     // still to be computed.
+     It("grants a ready transfer before a later one, but not before a ready "
+        "one",
         [] {
           TransferLink link(
               {.bytes_per_second = 1000, .export_lifetime = 800ms});
@@ -184,7 +190,7 @@
           CHECK(link.Book(Attempt(5), 500, 0s, kNow).granted);
           CHECK(!link.Book(Attempt(6), 500, 0s, kNow).granted);
         }),
-     It("moves a window to where its transfer begins, and frees it", [] {
+     It("shifts a window to the start of its transfer, and frees it", [] {
        TransferLink link({.bytes_per_second = 1000, .export_lifetime = 800ms});
        link.Book(Attempt(1), 800, 5s, kNow);
        link.Begin(Attempt(1), kNow + 1s);
--- a/src/agent/tests/engine_care_test.cc
+++ b/src/agent/tests/engine_care_test.cc
@@ -15,8 +15,8 @@
       std::string sent;
       const auto acknowledge = [&](std::uint64_t through) {
         flow.Acknowledge(SequenceNumber(through));
-        for (const auto& piece : flow.TakeSendable()) {
-          sent += std::to_string(piece.sequence.value);
+        for (const auto& chunk : flow.TakeSendable()) {
+          sent += std::to_string(chunk.sequence.value);
         }
         const auto change = flow.TakePauseChange();
         sent += !change ? "" : *change ? "p" : "r";
@@ -39,10 +39,10 @@
 
 const testing::Story kAudit(
     "an agent beside an engine",
-    {// Symptom: the engine looks full after a restart of its agent. Sequence:
-     // the agent dies while streams run; its successor starts. Cause: the
-     // successor does not know them, and nobody else may cancel them.
-     It("takes no work until it has aborted what its predecessor left",
+    {// Guards against an engine that looks full after a restart of its agent:
+     // the agent dies while streams run, its successor does not know them, and
+     // no other process may cancel them.
+     It("takes no work until it has aborted its predecessor's attempts",
         [] {
           AgentBench bench(Decoder(), false);
           bench.Connect(kSession, kEntry);
@@ -54,38 +54,38 @@
                           "reserved 2"),
               bench.Trace());
         }),
-     It("asks again, ever more slowly, when the listing fails or is lost",
+     It("lists again with a growing delay when the listing fails or is lost",
         [] {
           AgentBench bench(Decoder(), false);
           std::vector<Duration> waits;
           for (int i = 0; i < 8; ++i) {
-            const Instant asked = bench.now;
-            if (i != 0) {  // the first one gets no answer at all
+            const Instant requested_at = bench.now;
+            if (i != 0) {  // the first listing gets no answer
               bench.Deliver(engine::ListFailed{});
             }
             bench.now = bench.core.next_timer();
             bench.core.OnTimer(bench.now);
             bench.Trace();
             CHECK(bench.listings == 1);
-            waits.push_back(bench.now - asked);
+            waits.push_back(bench.now - requested_at);
           }
           CHECK(waits == (std::vector<Duration>{2s, 100ms, 200ms, 400ms, 800ms,
                                                 1600ms, 3200ms, 5s}));
         }),
-     TraceCases("that lists",
-                {{"a stream which just ended leaves it alone, others it aborts",
-                  Decoder(),
-                  Reserves(1) + Streams(1) + Reserves(2) + Streams(2) +
-                      Advances(4900ms) + Texts(1) + StreamEnds(2) +
-                      Lists({Attempt(1), Attempt(2), Attempt(3)}) +
-                      Advances(4s),
-                  "reserved 1, decode 1, reserved 2, decode 2, chunk 1:0, "
-                  "ended 2:0, abort 3",
-                  1},
-                 {"what it released long ago aborts it again", Decoder(),
-                  Reserves(1) + Streams(1) + Advances(1s) + Cancels(1) +
-                      Lists({Attempt(1)}) + Advances(9s),
-                  "reserved 1, decode 1, abort 1, abort 1"}})});
+     TraceCases(
+         "that lists",
+         {{"a stream which just ended does not abort it, but aborts others",
+           Decoder(),
+           Reserves(1) + Streams(1) + Reserves(2) + Streams(2) +
+               Advances(4900ms) + Texts(1) + StreamEnds(2) +
+               Lists({Attempt(1), Attempt(2), Attempt(3)}) + Advances(4s),
+           "reserved 1, decode 1, reserved 2, decode 2, chunk 1:0, "
+           "ended 2:0, abort 3",
+           1},
+          {"an attempt that it released long ago aborts it again", Decoder(),
+           Reserves(1) + Streams(1) + Advances(1s) + Cancels(1) +
+               Lists({Attempt(1)}) + Advances(9s),
+           "reserved 1, decode 1, abort 1, abort 1"}})});
 
 engine::Order Wanted(std::uint64_t fencing_token) {
   return {.fencing_token = LogOffset(fencing_token),
@@ -97,7 +97,7 @@
 
 struct StateCase {
   std::string name;
-  std::function<void(engine::EngineState&)> change;  // from the wanted one
+  std::function<void(engine::EngineState&)> change;  // from the wanted state
   bool fit;
   bool ordered_when_idle;
   bool ordered_when_busy;
@@ -122,15 +122,15 @@
            false, false},
           {"lacks an adapter, send it at once",
            [](auto& s) { s.adapters.pop_back(); }, true, true, true},
-          {"is another version, wait for what runs",
+          {"is another version, wait for the running attempts",
            [](auto& s) { s.version = "1"; }, false, true, false},
-          {"is another role, wait for what runs",
+          {"is another role, wait for the running attempts",
            [](auto& s) { s.role = "prefill"; }, false, true, false},
           {"is still loading, wait", [](auto& s) { s.loading = true; }, false,
            false, false},
-          {"follows a newer manifest, do not turn it back",
+          {"follows a newer manifest, do not revert it",
            [](auto& s) { s = StateOf(Wanted(6), "3"); }, false, false, false},
-          {"cannot be read, leave it",
+          {"cannot be read, send nothing",
            [](auto& s) { s = {.code = ResultCode::kEngineUnavailable}; }, true,
            false, false}},
          [](const StateCase& row) {
@@ -151,10 +151,10 @@
              CHECK(orders.next_timer() > kNow);
            }
          }),
-     // Symptom: an engine goes back to an old version. Sequence: an order
-     // waits for running streams while a newer manifest arrives. Cause: the
-     // order was made when it was found necessary, not when it was sent.
-     It("carry what is wanted when they are sent, and are read back",
+     // Guards against an engine that goes back to an old version: an order
+     // waits for running streams while a newer manifest arrives, so its content
+     // must be determined when it is sent and not when it is found necessary.
+     It("carry the state that is wanted when they are sent, and are read back",
         [] {
           RandomSource random(1);
           EngineOrders orders({}, random);
@@ -201,59 +201,58 @@
            bench.Trace());
      })});
 
-struct TurnCase {
+struct MaintenanceCase {
   std::string name;
-  std::function<void(engine::EngineState&)> change;  // from the wanted one
+  std::function<void(engine::EngineState&)> change;  // from the wanted state
   maintenance::MaintenanceIntent intent;
-  bool fit;      // without a turn
-  bool ordered;  // without a turn, when idle
+  bool fit;      // without a maintenance slot
+  bool ordered;  // without a maintenance slot, when idle
 };
 
-const testing::Story kTurns(
-    "orders that take turns",
-    {Cases<TurnCase>("to an engine whose state",
-                     {{"is as wanted, ask for none", [](auto&) {},
-                       maintenance::MaintenanceIntent::kNone, true, false},
-                      {"is an older version, wait while it serves",
-                       [](auto& s) { s.version = "1"; },
-                       maintenance::MaintenanceIntent::kEnter, true, false},
-                      {"lacks an adapter, wait while it serves",
-                       [](auto& s) { s.adapters.pop_back(); },
-                       maintenance::MaintenanceIntent::kEnter, true, false},
-                      {"is another model, which serves nobody, are sent",
-                       [](auto& s) { s.model = ModelName("other"); },
-                       maintenance::MaintenanceIntent::kKeep, false, true},
-                      {"is another role, which serves nobody, are sent",
-                       [](auto& s) { s.role = "prefill"; },
-                       maintenance::MaintenanceIntent::kKeep, false, true},
-                      {"is loading, keep what turn there is",
-                       [](auto& s) { s.loading = true; },
-                       maintenance::MaintenanceIntent::kKeep, false, false},
-                      {"follows a newer manifest, claim nothing",
-                       [](auto& s) { s = StateOf(Wanted(6), "3"); },
-                       maintenance::MaintenanceIntent::kKeep, true, false}},
-                     [](const TurnCase& row) {
-                       RandomSource random(1);
-                       EngineOrders orders({.use_maintenance_queue = true},
-                                           random);
-                       orders.SetWanted(Wanted(5), kNow);
-                       orders.TakeDue(true, kNow);
-                       engine::EngineState state = StateOf(Wanted(5));
-                       row.change(state);
-                       orders.OnState(state, kNow);
-                       CHECK(orders.maintenance_intent() == row.intent);
-                       CPPUNIT_ASSERT_EQUAL(row.fit, orders.fit());
-                       const auto command = orders.TakeDue(true, kNow);
-                       CPPUNIT_ASSERT_EQUAL(
-                           row.ordered,
-                           command &&
-                               std::holds_alternative<engine::Order>(*command));
-                       CHECK(orders.next_timer() > kNow);
-                     }),
-     // Symptom: streams break off when a new version is rolled out. Sequence:
-     // an endpoint's turn comes while it streams. Cause: the order would fail
-     // what the engine runs.
-     It("keep new work away from the turn on, and wait for what runs",
+const testing::Story kMaintenanceOrders(
+    "orders that wait in the maintenance queue",
+    {Cases<MaintenanceCase>(
+         "to an engine whose state",
+         {{"is as wanted, request no maintenance", [](auto&) {},
+           maintenance::MaintenanceIntent::kNone, true, false},
+          {"is an older version, wait while it serves",
+           [](auto& s) { s.version = "1"; },
+           maintenance::MaintenanceIntent::kEnter, true, false},
+          {"lacks an adapter, wait while it serves",
+           [](auto& s) { s.adapters.pop_back(); },
+           maintenance::MaintenanceIntent::kEnter, true, false},
+          {"is another model, which serves no request, are sent",
+           [](auto& s) { s.model = ModelName("other"); },
+           maintenance::MaintenanceIntent::kKeep, false, true},
+          {"is another role, which serves no request, are sent",
+           [](auto& s) { s.role = "prefill"; },
+           maintenance::MaintenanceIntent::kKeep, false, true},
+          {"is loading, keep the place in the maintenance queue",
+           [](auto& s) { s.loading = true; },
+           maintenance::MaintenanceIntent::kKeep, false, false},
+          {"follows a newer manifest, leave the maintenance queue as it is",
+           [](auto& s) { s = StateOf(Wanted(6), "3"); },
+           maintenance::MaintenanceIntent::kKeep, true, false}},
+         [](const MaintenanceCase& row) {
+           RandomSource random(1);
+           EngineOrders orders({.use_maintenance_queue = true}, random);
+           orders.SetWanted(Wanted(5), kNow);
+           orders.TakeDue(true, kNow);
+           engine::EngineState state = StateOf(Wanted(5));
+           row.change(state);
+           orders.OnState(state, kNow);
+           CHECK(orders.maintenance_intent() == row.intent);
+           CPPUNIT_ASSERT_EQUAL(row.fit, orders.fit());
+           const auto command = orders.TakeDue(true, kNow);
+           CPPUNIT_ASSERT_EQUAL(
+               row.ordered,
+               command && std::holds_alternative<engine::Order>(*command));
+           CHECK(orders.next_timer() > kNow);
+         }),
+     // Guards against streams that break off when a new version is rolled out:
+     // the endpoint is granted maintenance while it streams, and the order
+     // would fail the running streams.
+     It("keep new work away once maintenance is granted, and wait for streams",
         [] {
           RandomSource random(1);
           EngineOrders orders({.use_maintenance_queue = true}, random);
@@ -268,10 +267,11 @@
           CHECK(std::holds_alternative<engine::Order>(*command));
           CHECK(!orders.fit());
         }),
-     // Symptom: a pool stays small during an outage of the log. Sequence: the
-     // log goes out while an endpoint waits for its streams to end. Cause: it
-     // may no longer go, and would neither serve.
-     It("serve again when the turn cannot be confirmed before they are sent",
+     // Guards against a pool that stays small during an outage of the log: the
+     // log becomes unavailable while an endpoint waits for its streams to end,
+     // so the endpoint may no longer enter maintenance and would not serve
+     // either.
+     It("serve again when the grant cannot be confirmed before they are sent",
         [] {
           RandomSource random(1);
           EngineOrders orders({.use_maintenance_queue = true}, random);
@@ -283,10 +283,10 @@
           CHECK(orders.fit() && !orders.out());
           CHECK(!orders.TakeDue(true, kNow + 7s));
         }),
-     // Symptom: work for an engine that loads. Sequence: the log goes out
-     // right after the order was sent. Cause: the turn alone would say that
-     // the endpoint serves.
-     It("do not serve on without the log once they are sent", [] {
+     // Guards against work for an engine that is loading: the log becomes
+     // unavailable right after the order was sent, and the maintenance grant
+     // alone would mean that the endpoint serves.
+     It("do not resume service without the log once they are sent", [] {
        RandomSource random(1);
        EngineOrders orders({.use_maintenance_queue = true}, random);
        orders.SetWanted(Wanted(5), kNow);
@@ -298,7 +298,7 @@
        CHECK(!orders.fit() && orders.out());
      })});
 
-struct RestRow {
+struct RemainingPoolCase {
   std::string name;
   std::uint32_t running;  // of 10
   Duration watched;
@@ -306,17 +306,18 @@
   bool spared;
 };
 
-const testing::Story kRest(
-    "the rest of a pool",
-    {Cases<RestRow>(
-        "is asked to carry the load",
-        {{"of one that is half busy", 5, 60s, 3, true},
+const testing::Story kRemainingPool(
+    "the remaining pool",
+    {Cases<RemainingPoolCase>(
+        "is required to carry the load",
+        {{"of an endpoint that is half busy", 5, 60s, 3, true},
          {"up to its bound of four fifths", 6, 60s, 3, true},
-         {"and no more", 7, 60s, 3, false},
-         {"of one of two", 5, 60s, 1, false},
-         {"only after that was watched", 0, 5s, 3, false},
-         {"that an only one has not", 0, 0s, 0, true}},
-        [](const RestRow& row) {
+         {"but no more than that bound", 7, 60s, 3, false},
+         {"but not that of an endpoint in a pool of two", 5, 60s, 1, false},
+         {"but not before the load was observed for long enough", 0, 5s, 3,
+          false},
+         {"but this is not checked for a sole endpoint", 0, 0s, 0, true}},
+        [](const RemainingPoolCase& row) {
           AgentOptions options = Decoder();
           options.endpoint = EndpointId("x");
           RandomSource random(1);
@@ -333,7 +334,8 @@
           permission.SetPool(manifest, manifest.endpoints[0], kNow);
           permission.NoteLoad({.running = row.running, .limit = 10}, kNow);
           const Instant now = kNow + row.watched;
-          // Claims, and reads its own claim alone.
+          // The client appends its record, and reads no other record from the
+          // log.
           maintenance::MaintenanceQueueClient& queue_client =
               permission.queue_client();
           queue_client.SetIntent(maintenance::MaintenanceIntent::kEnter, now);
--- a/src/agent/tests/heartbeat_test.cc
+++ b/src/agent/tests/heartbeat_test.cc
@@ -10,8 +10,8 @@
 constexpr Incarnation kProcess{900};
 constexpr SessionId kSecond{2};
 
-// An agent with the sessions of two shards of one process; attempt 1 holds a
-// reservation in the first, and 2 in the second.
+// An agent with the sessions of two shards of one process. Attempt 1 holds a
+// reservation in the first session, and attempt 2 in the second.
 struct Bench : AgentBench {
   explicit Bench(AgentOptions options = Decoder())
       : AgentBench(std::move(options)) {
@@ -29,18 +29,19 @@
                                .interval = 1s},
                session);
   }
-  std::optional<protocol::HeartbeatAnswer> Beat(const Heartbeat& heartbeat) {
+  std::optional<protocol::HeartbeatAnswer> Receive(const Heartbeat& heartbeat) {
     return this->core.OnHeartbeat(heartbeat, this->now);
   }
-  // Lets time pass with its timers, and tells which sessions lapsed.
-  std::uint64_t Lapsed(Duration duration) {
+  // Advances the time, runs the timers, and returns the number of sessions that
+  // lapsed.
+  std::uint64_t CountLapsed(Duration duration) {
     const std::uint64_t before = this->core.counters().sessions_lapsed;
     this->AdvanceBy(duration);
     return this->core.counters().sessions_lapsed - before;
   }
 };
 
-Heartbeat Both(std::uint32_t sequence = 1) {
+Heartbeat ForBothSessions(std::uint32_t sequence = 1) {
   return {.entry = EntryId("e1"),
           .incarnation = kProcess,
           .sequence = sequence,
@@ -49,8 +50,8 @@
 }
 
 template <typename Change>
-Heartbeat With(Change change) {
-  Heartbeat heartbeat = Both(5);
+Heartbeat HeartbeatWith(Change change) {
+  Heartbeat heartbeat = ForBothSessions(5);
   change(heartbeat);
   return heartbeat;
 }
@@ -58,125 +59,132 @@
 struct Row {
   const char* name;
   Heartbeat heartbeat;
-  std::uint64_t lapsed;  // of the two sessions, when it comes after 2 s
+  std::uint64_t lapsed;  // of the two sessions, if it arrives after 2 s
 };
 
 const testing::Story kHeartbeats(
     "a heartbeat",
-    {It("renews every session that it lists, and tells agent, lease and load",
+    {It("renews every session that it lists, and returns agent, lease and load",
         [] {
           Bench bench;
           bench.now += 2s;
-          const auto answer = bench.Beat(Both());
+          const auto answer = bench.Receive(ForBothSessions());
           CHECK(answer && answer->agent == kHome && answer->renewed == 3);
           CHECK(answer->lease == 3s && answer->has_load && !answer->leaving);
-          CHECK(bench.Lapsed(2900ms) == 0);
-          CHECK(bench.Lapsed(100ms) == 2);
+          CHECK(bench.CountLapsed(2900ms) == 0);
+          CHECK(bench.CountLapsed(100ms) == 2);
         }),
-     // Symptom: engine memory stays held for an entry that is gone, or a
-     // session lives on that its entry has given up. Sequence: a datagram
-     // comes that speaks of something else. Cause: it was counted.
+     // Guards against engine memory that stays held for an entry that is gone,
+     // and against a session that outlives its end at the entry: a datagram
+     // about another session or incarnation must not renew a lease.
      Cases<Row>(
          "that comes after one of sequence 4 does or does not renew when it is",
-         {{"the next", Both(5), 0},
-          {"doubled", Both(4), 2},
-          {"overtaken", Both(3), 2},
-          {"of another start of the process",
-           With([](Heartbeat& h) { h.incarnation = Incarnation(901); }), 2},
+         {{"the next", ForBothSessions(5), 0},
+          {"doubled", ForBothSessions(4), 2},
+          {"overtaken", ForBothSessions(3), 2},
+          {"of another incarnation of the process",
+           HeartbeatWith([](Heartbeat& h) {
+             h.incarnation = Incarnation(901);
+           }),
+           2},
           {"in another entry's name",
-           With([](Heartbeat& h) { h.entry = EntryId("e2"); }), 2},
+           HeartbeatWith([](Heartbeat& h) { h.entry = EntryId("e2"); }), 2},
           {"in a shard's name",
-           With([](Heartbeat& h) { h.entry = EntryId("e1/0"); }), 2},
+           HeartbeatWith([](Heartbeat& h) { h.entry = EntryId("e1/0"); }), 2},
           {"for one of the sessions",
-           With([](Heartbeat& h) { h.sessions = {12}; }), 1},
-          {"for sessions that never were", With([](Heartbeat& h) {
+           HeartbeatWith([](Heartbeat& h) { h.sessions = {12}; }), 1},
+          {"for sessions that never existed", HeartbeatWith([](Heartbeat& h) {
              h.sessions = {77, 0};
            }),
            2},
           {"for a session of another entry",
-           With([](Heartbeat& h) { h.sessions = {1}; }), 2},
-          {"for nothing", With([](Heartbeat& h) { h.sessions = {}; }), 2}},
+           HeartbeatWith([](Heartbeat& h) { h.sessions = {1}; }), 2},
+          {"for nothing", HeartbeatWith([](Heartbeat& h) { h.sessions = {}; }),
+           2}},
          [](const Row& row) {
            Bench bench;
-           CHECK(bench.Beat(Both(4)));
+           CHECK(bench.Receive(ForBothSessions(4)));
            bench.now += 2s;
            const bool renewed = row.lapsed < 2;
-           CHECK(bench.Beat(row.heartbeat).has_value() == renewed);
-           CHECK(bench.Lapsed(1s) == row.lapsed);
+           CHECK(bench.Receive(row.heartbeat).has_value() == renewed);
+           CHECK(bench.CountLapsed(1s) == row.lapsed);
          }),
-     // Symptom: a stream goes on that its entry has long repeated elsewhere.
-     // Sequence: the agent is paused past the lease, and wakes with a
-     // heartbeat in its socket. Cause: it renewed before it looked.
-     It("that waited in the socket of a paused agent brings nothing back",
+     // Guards against a stream that goes on although its entry has long
+     // repeated it elsewhere: the agent is paused past the lease and resumes
+     // with a heartbeat in its socket, so it must check for lapsed leases
+     // before it renews.
+     It("that waited in the socket of a paused agent revives no session",
         [] {
           Bench bench;
           bench.now += 4s;
-          CHECK(!bench.Beat(Both()));
+          CHECK(!bench.Receive(ForBothSessions()));
           CHECK(bench.core.counters().sessions_lapsed >= 2);
-          CHECK(!bench.Beat(Both(2)));
+          CHECK(!bench.Receive(ForBothSessions(2)));
         }),
      It("does not renew a session whose connection has closed",
         [] {
           Bench bench;
           bench.core.OnSessionClosed(SessionId(11), bench.now);
-          CHECK(bench.Beat(Both())->renewed == 2);
+          CHECK(bench.Receive(ForBothSessions())->renewed == 2);
           bench.core.OnSessionClosed(SessionId(12), bench.now);
-          CHECK(!bench.Beat(Both(2)));
+          CHECK(!bench.Receive(ForBothSessions(2)));
         }),
-     It("never shortens a lease that an entry counts on",
+     It("never shortens a lease that was granted to an entry",
         [] {
           Bench bench;
-          Heartbeat slow = Both(1);
+          Heartbeat slow = ForBothSessions(1);
           slow.interval = 5s;
-          CHECK(bench.Beat(slow)->lease == 15s);
-          CHECK(bench.Beat(Both(2))->lease == 3s);
-          CHECK(bench.Lapsed(14900ms) == 0);
-          CHECK(bench.Lapsed(100ms) == 2);
+          CHECK(bench.Receive(slow)->lease == 15s);
+          CHECK(bench.Receive(ForBothSessions(2))->lease == 3s);
+          CHECK(bench.CountLapsed(14900ms) == 0);
+          CHECK(bench.CountLapsed(100ms) == 2);
         }),
-     It("gets no lease beyond the longest interval, whatever it asks for",
+     It("gets no lease beyond the longest interval, whatever it requests",
         [] {
           Bench bench;
-          Heartbeat greedy = Both();
+          Heartbeat greedy = ForBothSessions();
           greedy.interval = 24h;
-          CHECK(bench.Beat(greedy)->lease == 30s);
+          CHECK(bench.Receive(greedy)->lease == 30s);
         }),
      It("gets a longer lease from an agent with many entries",
         [] {
           AgentOptions options = Decoder();
-          options.heartbeats.bytes_per_second = 224;  // one heartbeat a second
-          Bench bench(options);                       // of two processes
-          const auto answer = bench.Beat(Both());
+          // The budget is one heartbeat per second, and two processes share it.
+          options.heartbeats.bytes_per_second = 224;
+          Bench bench(options);
+          const auto answer = bench.Receive(ForBothSessions());
           CPPUNIT_ASSERT_EQUAL(Duration(6s).count(), answer->lease.count());
           CHECK(bench.core.within_heartbeat_budget());
         }),
-     It("is told the load when it has changed much, or the last did not come",
+     It("is answered with the load when it has changed much, or the last was "
+        "lost",
         [] {
           Bench bench;
-          CHECK(bench.Beat(Both(1))->has_load);
-          CHECK(bench.Beat(Both(2))->has_load);  // the first answer was lost
-          Heartbeat next = Both(3);
+          CHECK(bench.Receive(ForBothSessions(1))->has_load);
+          // The first answer was lost.
+          CHECK(bench.Receive(ForBothSessions(2))->has_load);
+          Heartbeat next = ForBothSessions(3);
           next.load_seen = 2;
-          CHECK(!bench.Beat(next)->has_load);
+          CHECK(!bench.Receive(next)->has_load);
           Reserves(Attempt(1)).Play(bench);
           next.sequence = 4;
-          CHECK(bench.Beat(next)->has_load);
+          CHECK(bench.Receive(next)->has_load);
         }),
-     It("tells that the agent is leaving, and the manifest that it has heard "
-        "of",
+     It("returns that the agent is leaving, and reports a newer manifest",
         [] {
           Bench bench;
           bench.core.BeginDrain(bench.now);
-          Heartbeat heartbeat = Both();
+          Heartbeat heartbeat = ForBothSessions();
           heartbeat.manifest = LogOffset(9);
-          CHECK(bench.Beat(heartbeat)->leaving);
+          CHECK(bench.Receive(heartbeat)->leaving);
           CHECK(bench.core.newest_reported_manifest() == LogOffset(9));
         }),
-     It("of a stranger does not tell of a manifest", [] {
+     It("of an unknown incarnation reports no manifest", [] {
        Bench bench;
-       Heartbeat forged = Both();
+       Heartbeat forged = ForBothSessions();
        forged.incarnation = Incarnation(1);
        forged.manifest = LogOffset(9);
-       CHECK(!bench.Beat(forged));
+       CHECK(!bench.Receive(forged));
        CHECK(bench.core.newest_reported_manifest() == LogOffset());
      })});
 
--- a/src/agent/tests/once_ledger_test.cc
+++ b/src/agent/tests/once_ledger_test.cc
@@ -19,7 +19,7 @@
           .claim = LogOffset(kind == OnceKind::kClaim ? key : 0)};
 }
 
-protocol::Once Foreign() {
+protocol::Once KeyOfAnotherHome() {
   protocol::Once once = Key(1);
   once.home = Incarnation(499);
   return once;
@@ -29,7 +29,7 @@
   return {.status = 200, .body = std::string(bytes, 'x')};
 }
 
-enum class Past : std::uint8_t {
+enum class KeyHistory : std::uint8_t {
   kUnseen,
   kRunning,
   kCompleted,
@@ -41,24 +41,24 @@
 
 struct VerdictCase {
   std::string name;
-  Past past;
+  KeyHistory past;
   OnceVerdict begin;
   OnceVerdict look_up;
 };
 
-OnceLedger LedgerAfter(Past past) {
+OnceLedger LedgerAfter(KeyHistory past) {
   OnceLedger ledger({.home = kHome, .max_bytes = 1000, .max_keys = 3});
-  if (past == Past::kLookedUp) {
+  if (past == KeyHistory::kLookedUp) {
     ledger.LookUp(Key(1), kNow);
-  } else if (past != Past::kUnseen) {
+  } else if (past != KeyHistory::kUnseen) {
     ledger.Begin(Key(1), kNow);
   }
-  if (past == Past::kCompleted || past == Past::kCompletedLarge) {
-    ledger.Complete(Key(1), AnswerOfSize(past == Past::kCompleted ? 10 : 2000),
-                    kNow);
-  } else if (past == Past::kUnknown) {
+  if (past == KeyHistory::kCompleted || past == KeyHistory::kCompletedLarge) {
+    ledger.Complete(
+        Key(1), AnswerOfSize(past == KeyHistory::kCompleted ? 10 : 2000), kNow);
+  } else if (past == KeyHistory::kUnknown) {
     ledger.SetUnknown(Key(1), kNow);
-  } else if (past == Past::kReleased) {
+  } else if (past == KeyHistory::kReleased) {
     ledger.Release(Key(1));
   }
   return ledger;
@@ -72,35 +72,38 @@
 const testing::Story kLedger(
     "a once ledger",
     {Cases<VerdictCase>(
-         "asked about a key",
-         {{"that is unseen, runs or seals it", Past::kUnseen, kRun, kSealed},
-          {"that runs, says so", Past::kRunning, kStillRunning, kStillRunning},
-          {"that completed, has the answer", Past::kCompleted, kAnswered,
+         "queried for a key",
+         {{"that is unseen, runs or seals it", KeyHistory::kUnseen, kRun,
+           kSealed},
+          {"that runs, reports it as running", KeyHistory::kRunning,
+           kStillRunning, kStillRunning},
+          {"that completed, has the answer", KeyHistory::kCompleted, kAnswered,
            kAnswered},
           {"with a large answer, knows that it completed",
-           Past::kCompletedLarge, kAnswerGone, kAnswerGone},
-          {"of unknown outcome, never runs it again", Past::kUnknown, kUnknown,
-           kUnknown},
-          {"that provably did not run, runs it", Past::kReleased, kRun,
+           KeyHistory::kCompletedLarge, kAnswerGone, kAnswerGone},
+          {"of unknown outcome, never runs it again", KeyHistory::kUnknown,
+           kUnknown, kUnknown},
+          {"that provably did not run, runs it", KeyHistory::kReleased, kRun,
            kSealed},
-          {"that was sealed, never runs it", Past::kLookedUp, kSealed,
+          {"that was sealed, never runs it", KeyHistory::kLookedUp, kSealed,
            kSealed}},
          [](const VerdictCase& row) {
            AssertVerdict(row.begin, LedgerAfter(row.past).Begin(Key(1), kNow));
            AssertVerdict(row.look_up,
                          LedgerAfter(row.past).LookUp(Key(1), kNow));
            OnceLedger ledger = LedgerAfter(row.past);
-           AssertVerdict(kWrongHome, ledger.Begin(Foreign(), kNow));
-           AssertVerdict(kWrongHome, ledger.LookUp(Foreign(), kNow));
+           AssertVerdict(kWrongHome, ledger.Begin(KeyOfAnotherHome(), kNow));
+           AssertVerdict(kWrongHome, ledger.LookUp(KeyOfAnotherHome(), kNow));
          }),
-     It("tells another request under the same key from a resubmission",
+     It("distinguishes another request under the same key from a resubmission",
         [] {
-          for (const Past past : {Past::kRunning, Past::kCompleted,
-                                  Past::kUnknown, Past::kLookedUp}) {
+          for (const KeyHistory past :
+               {KeyHistory::kRunning, KeyHistory::kCompleted,
+                KeyHistory::kUnknown, KeyHistory::kLookedUp}) {
             AssertVerdict(kKeyReused, LedgerAfter(past).Begin(Key(1, 8), kNow));
           }
         }),
-     It("drops the oldest answers beyond its bytes, and no key",
+     It("drops the oldest answers beyond its byte limit, and no key",
         [] {
           OnceLedger ledger(
               {.home = kHome, .max_bytes = 1000, .max_keys = 100});
@@ -113,12 +116,12 @@
           AssertVerdict(kAnswered, ledger.Begin(Key(20), kNow));
           CHECK(ledger.keys() == 20);
         }),
-     // Symptom: one order is charged twice. Sequence: many keys within the
-     // window, then a late resubmission of an early one. Cause: a bounded
-     // ledger that forgets its oldest key to take a new one.
-     It("turns new keys away rather than forget one within the window",
+     // Guards against a call that runs twice: many keys arrive within the
+     // window, and then an early one is submitted again. A bounded ledger must
+     // not forget its oldest key to accept a new one.
+     It("rejects new keys rather than forget a key within the window",
         [] {
-          OnceLedger ledger = LedgerAfter(Past::kCompleted);
+          OnceLedger ledger = LedgerAfter(KeyHistory::kCompleted);
           ledger.Begin(Key(2), kNow);
           ledger.LookUp(Key(3), kNow);
           AssertVerdict(kFull, ledger.Begin(Key(4), kNow));
@@ -126,10 +129,10 @@
           AssertVerdict(kAnswered, ledger.Begin(Key(1), kNow));
           AssertVerdict(kRun, ledger.Begin(Key(4), kNow + 24h));
         }),
-     // Symptom: a call of yesterday runs again. Sequence: it completed, its
-     // window passed, the key was forgotten, its caller resubmits. Cause: a
-     // forgotten key looks like one never seen.
-     It("refuses a claim as old as those it has forgotten",
+     // Guards against a call that runs again after a day: it completed, its
+     // window passed, the key was forgotten, and its caller submits it again. A
+     // forgotten key looks like a key that was never seen.
+     It("refuses a claim that is no newer than a forgotten claim",
         [] {
           OnceLedger ledger({.home = kHome, .window = 24h});
           const auto claim = [](std::uint64_t offset) {
@@ -142,11 +145,11 @@
           AssertVerdict(kRun, ledger.Begin(claim(51), kNow + 24h));
           CHECK(ledger.kept_bytes() == 0);
         }),
-     // Symptom: a ticket ran twice, a day apart. Sequence: it was used; a day
-     // later its key was forgotten; it came again by an entry whose clock is
-     // behind, to which it was still young. Cause: only the entries' clocks
-     // kept an old ticket away.
-     It("refuses a ticket issued no later than one that it has forgotten",
+     // Guards against a ticket that runs twice, a day apart: its key is
+     // forgotten a day after its use, and it comes again through an entry whose
+     // clock is behind and which finds it young. The clocks of the entries
+     // alone do not keep an old ticket away.
+     It("refuses a ticket that was issued no later than a forgotten ticket",
         [] {
           OnceLedger ledger({.home = kHome, .window = 24h});
           ledger.Begin(Key(50), kNow);
@@ -156,7 +159,7 @@
           AssertVerdict(kRun, ledger.Begin(Key(51), kNow + 24h));
         }),
      It("never lets the window of a running key pass", [] {
-       OnceLedger ledger = LedgerAfter(Past::kRunning);
+       OnceLedger ledger = LedgerAfter(KeyHistory::kRunning);
        AssertVerdict(kStillRunning, ledger.Begin(Key(1), kNow + 48h));
      })});
 
@@ -167,25 +170,26 @@
          {{"it was answered, replays the answer", Plain(),
            Calls(1, Key(1)) + CallEnds(1) + Calls(2, Key(1)),
            "call 1, answered 1 yes, answered 2 again yes"},
-          {"its caller went away, replays what came later", Plain(),
+          {"its caller disconnected, replays the later answer", Plain(),
            Calls(1, Key(1)) + Cancels(1) + CallEnds(1) + Calls(2, Key(1)),
            "call 1, answered 2 again yes"},
-          {"its session was lost, replays what came later", Plain(),
+          {"its session was lost, replays the later answer", Plain(),
            Calls(1, Key(1)) + Drops() + CallEnds(1) +
                Connects(kSession, kEntry) + Calls(2, Key(1)),
            "call 1, welcome, answered 2 again yes"},
-          {"its deadline passed, says that it still runs", Plain(),
+          {"its deadline passed, reports that it still runs", Plain(),
            Calls(1, Key(1)) + Advances(9s) + Calls(2, Key(1)),
            "call 1, failed 1 deadline_exceeded unknown, "
            "failed 2 still_running unknown",
            1},
-          {"the engine failed midway, says unknown for ever", Plain(),
+          {"the engine failed midway, always reports an unknown outcome",
+           Plain(),
            Calls(1, Key(1)) + Fails(1) + Calls(2, Key(1)) + Advances(1h) +
                LooksUp(3, Key(1)),
            "call 1, failed 1 engine_failed unknown, "
            "failed 2 outcome_unknown unknown, failed 3 outcome_unknown "
            "unknown"},
-          {"it never answered, says unknown for ever", Plain(),
+          {"it never answered, always reports an unknown outcome", Plain(),
            Calls(1, Key(1)) + Advances(601s) + Calls(2, Key(1)),
            "call 1, failed 1 deadline_exceeded unknown, abort 1, "
            "failed 2 outcome_unknown unknown"},
@@ -213,13 +217,15 @@
                   "refused 3 draining, refused 4 draining"}}),
      TraceCases(
          "that cannot know",
-         {// Symptom: a call runs on two starts of an agent. Sequence: the
-          // agent dies after the call ran; a ticket of that start comes to
-          // the next one. Cause: the ledger died with the start.
-          {"a ticket of another start, refuses it and calls it unknown",
-           Plain(), Calls(1, Foreign()) + LooksUp(2, Foreign()),
+         {// Guards against a call that runs in two incarnations of an agent:
+          // the agent dies after the call ran, and a ticket of that incarnation
+          // comes to the next one, which does not have the ledger of the first.
+          {"a ticket of another incarnation, refuses it and reports it as "
+           "unknown",
+           Plain(),
+           Calls(1, KeyOfAnotherHome()) + LooksUp(2, KeyOfAnotherHome()),
            "refused 1 ticket_invalid, failed 2 ticket_invalid unknown"},
-          {"one key more, does not run it", Plain(4),
+          {"a key beyond its limit, does not run it", Plain(4),
            Calls(1, Key(1)) + Calls(2, Key(2)) + Calls(3, Key(3)) +
                LooksUp(4, Key(4)),
            "call 1, call 2, failed 3 out_of_bounds not_run, "
--- a/src/agent/tests/prefill_test.cc
+++ b/src/agent/tests/prefill_test.cc
@@ -20,13 +20,13 @@
             now += 100ms;  // both end together: 10000 tokens a second
             forecast.OnFinished(Attempt(i), 500, now);
             forecast.OnFinished(Attempt(i + 1), 500, now);
-            now += 1s;  // idle time teaches nothing
+            now += 1s;  // idle time does not change the rate
           }
           CPPUNIT_ASSERT_DOUBLES_EQUAL(10000, forecast.tokens_per_second(),
                                        1000);
           CHECK(forecast.Remaining(now) == 0s);
         }),
-     It("counts what the engine was given, and not what was dropped",
+     It("counts the dispatched prefills, and not the dropped prefills",
         [] {
           PrefillForecast forecast(1000);
           forecast.OnDispatched(Attempt(1), 500, kNow);
@@ -35,16 +35,18 @@
           forecast.OnDropped(Attempt(1), kNow + 200ms);
           CHECK(forecast.Remaining(kNow + 200ms) == 500ms);
         }),
-     It("has a margin of the late tenth, which fades without news", [] {
-       PrefillForecast forecast(1000);
-       for (int i = 0; i < 32; ++i) {
-         forecast.OnError(i < 28 ? -1s : 400ms, kNow);
-       }
-       CHECK(forecast.margin(kNow) == 0s);
-       forecast.OnError(400ms, kNow);
-       CHECK(forecast.margin(kNow) == 400ms);
-       CHECK(forecast.margin(kNow + PrefillForecast::kMarginHalfLife) == 200ms);
-     })});
+     It("has a margin at the 0.9 quantile of errors, which decays over time",
+        [] {
+          PrefillForecast forecast(1000);
+          for (int i = 0; i < 32; ++i) {
+            forecast.OnError(i < 28 ? -1s : 400ms, kNow);
+          }
+          CHECK(forecast.margin(kNow) == 0s);
+          forecast.OnError(400ms, kNow);
+          CHECK(forecast.margin(kNow) == 400ms);
+          CHECK(forecast.margin(kNow + PrefillForecast::kMarginHalfLife) ==
+                200ms);
+        })});
 
 struct OrderCase {
   std::string name;
@@ -91,7 +93,7 @@
           CPPUNIT_ASSERT_EQUAL(100.0, queue.WorkBefore(Waiting(3, 6s)));
           CPPUNIT_ASSERT_EQUAL(0.0, queue.WorkBefore(Waiting(3, 1s)));
         }),
-     It("gives up what can no longer be done in time", [] {
+     It("drops prefills that can no longer be done in time", [] {
        PrefillQueue queue(9, PrefillQueue::HookOf(PrefillOrder::kArrival));
        queue.Add(Waiting(1, 9s));
        queue.Add(Waiting(2, 3s));
@@ -102,33 +104,36 @@
 
 const testing::Story kPrefixes(
     "a prefix memory",
-    {It("expects a prompt's known head to be cached, as far as that holds", [] {
-      PrefixMemory memory(3);
-      memory.OnComputed({1, 2}, {.prompt_tokens = 200});
-      CPPUNIT_ASSERT_EQUAL(200.0, memory.CachedTokens({1, 2, 7, 8}, 400));
-      CPPUNIT_ASSERT_EQUAL(0.0, memory.CachedTokens({7, 1}, 400));
-      CPPUNIT_ASSERT_EQUAL(0.0, memory.CachedTokens({}, 400));
-      for (int i = 0; i < 100; ++i) {  // the engine evicts all of it
-        memory.OnComputed({1, 2}, {.prompt_tokens = 200});
-      }
-      CHECK(memory.CachedTokens({1, 2}, 400) < 1.0);
-      memory.OnComputed({3, 4}, {.prompt_tokens = 200});
-      CPPUNIT_ASSERT_EQUAL(0.0, memory.CachedTokens({1, 2}, 400));
-    })});
+    {It("expects a known prefix to be cached as often as the engine confirms "
+        "it",
+        [] {
+          PrefixMemory memory(3);
+          memory.OnComputed({1, 2}, {.prompt_tokens = 200});
+          CPPUNIT_ASSERT_EQUAL(200.0, memory.CachedTokens({1, 2, 7, 8}, 400));
+          CPPUNIT_ASSERT_EQUAL(0.0, memory.CachedTokens({7, 1}, 400));
+          CPPUNIT_ASSERT_EQUAL(0.0, memory.CachedTokens({}, 400));
+          // The engine evicts the whole prefix each time.
+          for (int i = 0; i < 100; ++i) {
+            memory.OnComputed({1, 2}, {.prompt_tokens = 200});
+          }
+          CHECK(memory.CachedTokens({1, 2}, 400) < 1.0);
+          memory.OnComputed({3, 4}, {.prompt_tokens = 200});
+          CPPUNIT_ASSERT_EQUAL(0.0, memory.CachedTokens({1, 2}, 400));
+        })});
 
 const testing::Story kAdmission(
     "a prefill endpoint",
     {TraceCases(
          "asked for half a second of work",
-         {{"admits what it can do", Prefiller(), Prefills(1, 500ms),
-           "prefill 1", 1},
-          {"refuses what is too short by itself", Prefiller(),
-           Prefills(1, 499ms), "refused 1 deadline_unreachable"},
+         {{"admits a prefill that it can finish in time", Prefiller(),
+           Prefills(1, 500ms), "prefill 1", 1},
+          {"refuses a deadline that is too short for the prefill itself",
+           Prefiller(), Prefills(1, 499ms), "refused 1 deadline_unreachable"},
           {"counts the work ahead", Prefiller(),
            Prefills(1) + Prefills(2) + Prefills(3, 1499ms) +
                Prefills(4, 1500ms),
            "prefill 1, refused 3 deadline_unreachable", 3},
-          {"forgets the work ahead as a baseline", Prefiller(false),
+          {"ignores the work ahead as a baseline", Prefiller(false),
            Prefills(1) + Prefills(2) + Prefills(3, 500ms), "prefill 1", 3},
           {"refuses beyond its queue", Prefiller(),
            Prefills(1) + Prefills(2) + Prefills(3) + Prefills(4),
@@ -137,9 +142,9 @@
            "refused 1 deadline_unreachable"},
           {"admits without overflow", Prefiller(), Prefills(1, Duration::max()),
            "prefill 1", 1},
-          // Symptom: prefills miss their target although each was found
-          // feasible. Sequence: the engine slows down. Cause: a prediction
-          // without a margin is wrong until the rate is learnt.
+          // Guards against prefills that miss their target although each was
+          // found feasible: the engine slows down, and a prediction without a
+          // margin is wrong until the new rate is learned.
           {"adds a margin once its predictions were too early", Prefiller(),
            Prefills(1, 9s, 100) + Advances(500ms) + PrefillEnds(1) +
                Prefills(2, 530ms, 100) + Prefills(3, 550ms, 100),
@@ -147,15 +152,15 @@
            2}}),
      TraceCases(
          "whose engine",
-         {// Symptom: queued work is told too late that it was not run.
-          // Cause: the queue is looked at only when a prefill ends.
-          {"stalls, refuses queued work in time and gives up the stalled",
+         {// Guards against a late refusal of queued work, which occurs when the
+          // queue is checked only at the end of a prefill.
+          {"stalls, refuses queued work in time and fails the stalled prefill",
            Prefiller(), Prefills(1) + Prefills(2, 2s) + Advances(20s),
            "prefill 1, refused 2 deadline_unreachable, "
            "failed 1 engine_failed unknown, abort 1"},
-          // The agent's lease was a long one, and it stood still past the
-          // stall: it aborted a prefill whose end lay in its socket.
-          {"ends a prefill while the agent stands still, is believed",
+          // Guards against an agent with a long lease that stalls past the
+          // stall timeout and then aborts a prefill whose end is in its socket.
+          {"ends a prefill during a stall of the agent, gets it reported",
            [] {
              AgentOptions options = Prefiller();
              options.session_lease = 1h;
@@ -163,8 +168,7 @@
            }(),
            Prefills(1) + Stalls(20s) + PrefillEnds(1), "prefill 1, prefilled 1",
            1},
-          {"stays silent after the agent stood still, is given up all the "
-           "same",
+          {"stays unresponsive after a stall of the agent, fails its prefill",
            [] {
              AgentOptions options = Prefiller();
              options.session_lease = 1h;
@@ -178,21 +182,20 @@
           {"fails a prefill, gets the next", Prefiller(),
            Prefills(1) + Prefills(2) + Fails(1),
            "prefill 1, failed 1 engine_failed unknown, prefill 2", 1},
-          {"is told to abort one, gets the next", Prefiller(),
+          {"is ordered to abort a prefill, gets the next", Prefiller(),
            Prefills(1) + Prefills(2) + Cancels(1),
            "prefill 1, abort 1, prefill 2", 1},
-          // Symptom: a stream fails although its prefill was done in time.
-          // Sequence: its transfer begins within the export's lifetime, and
-          // others share the link, so that it ends after it. Cause: the
-          // export was freed at its lifetime, under the transfer.
-          {"keeps an export for a transfer past its lifetime, is left to",
+          // Guards against a stream that fails although its prefill was done in
+          // time: its transfer begins within the lifetime of the export and
+          // ends after it because other transfers share the link, so the export
+          // must not be freed during the transfer.
+          {"keeps an export for a transfer past its lifetime, gets no abort",
            Prefiller(), Prefills(1) + PrefillEnds(1) + Advances(800ms),
            "prefill 1, prefilled 1", 1},
-          {"keeps an export for longer than a transfer may stall, is told "
-           "to free it",
+          {"keeps an export for longer than a transfer may stall, must free it",
            Prefiller(), Prefills(1) + PrefillEnds(1) + Advances(5800ms),
            "prefill 1, prefilled 1, abort 1"},
-          {"exports for nobody, is told to free it", Prefiller(),
+          {"exports for no known attempt, must free it", Prefiller(),
            PrefillEnds(7), "abort 7"}})});
 
 }  // namespace
--- a/src/agent/tests/random_order_test.cc
+++ b/src/agent/tests/random_order_test.cc
@@ -10,8 +10,9 @@
 using protocol::Phase;
 using testing::ForEach;
 
-// Random inputs in random order, with so few names that they collide, and the
-// promises that hold whatever the order. Repeats by its seed.
+// Sends random inputs in random order and checks the invariants that hold in
+// every order. Identifiers come from small ranges, so that they collide. A run
+// is reproducible from its seed.
 class RandomRun {
  public:
   RandomRun(std::uint64_t run_seed, EndpointRole role)
@@ -48,9 +49,9 @@
  private:
   std::uint64_t Pick(std::uint64_t bound) { return this->random.Below(bound); }
   bool Coin() { return this->Pick(2) == 0; }
-  void Assert(bool holds, const char* promise) {
+  void Assert(bool holds, const char* invariant) {
     CPPUNIT_ASSERT_MESSAGE(
-        std::string(promise) + ", seed " + std::to_string(this->seed), holds);
+        std::string(invariant) + ", seed " + std::to_string(this->seed), holds);
   }
 
   AttemptId AnyAttempt() {
@@ -61,9 +62,9 @@
     if (this->running.empty() || this->Pick(10) == 0) {
       return this->AnyAttempt();
     }
-    auto place = this->running.begin();
-    std::advance(place, this->Pick(this->running.size()));
-    return *place;
+    auto chosen = this->running.begin();
+    std::advance(chosen, this->Pick(this->running.size()));
+    return *chosen;
   }
   protocol::Once AnyOnce() {
     const std::uint64_t key = this->Pick(40);
@@ -102,7 +103,7 @@
                                    .prompt_tokens = this->Pick(20000),
                                    .finish_within = this->Within(4000)});
       case 3:
-      case 4:  // the engine sees the key as the target: its runs are counted
+      case 4:  // the target carries the key, so that its runs are counted
         return this->Send(
             protocol::StartCall{attempt,
                                 {.target = std::to_string(once.key_low)},
@@ -123,7 +124,7 @@
       case 10:
         return this->bench.core.OnTimer(this->bench.now);
       default:
-        return this->EngineSpeaks();
+        return this->DeliverEngineEvent();
     }
   }
 
@@ -134,7 +135,7 @@
                         number == 1 ? "e1" : "e2");
   }
 
-  void EngineSpeaks() {
+  void DeliverEngineEvent() {
     const AttemptId attempt = this->AnyRunning();
     switch (this->Pick(6)) {
       case 0:
@@ -161,15 +162,13 @@
     }
   }
 
-  // An event of another phase than the attempt's changes nothing.
+  // An event of a phase in which the attempt was not started changes nothing.
   void EndIn(Phase phase, const AttemptId& attempt) {
     if (this->started.contains({attempt, phase})) {
       this->running.erase(attempt);
     }
   }
 
-  // ---- the promises ----
-
   void Check() {
     for (const AgentAction& action : this->bench.core.TakeActions()) {
       if (const auto* execute = std::get_if<ExecuteOnEngine>(&action)) {
@@ -245,9 +244,9 @@
 };
 
 const testing::Story kRandom(
-    "an agent that gets anything in any order",
+    "an agent that receives any messages in any order",
     {ForEach<EndpointRole>(
-        "keeps its promises as",
+        "keeps its invariants as",
         {EndpointRole::kPrefill, EndpointRole::kDecode, EndpointRole::kPlain},
         [](const EndpointRole& role) {
           return std::string(NameOf(protocol::kEndpointRoleNames, role));
--- a/src/agent/tests/sessions_and_attempts_test.cc
+++ b/src/agent/tests/sessions_and_attempts_test.cc
@@ -17,9 +17,9 @@
   return {.incarnation = incarnation};
 }
 
-struct Greeted {
+struct TableWithSession {
   SessionTable table{{.lease = 3s, .heartbeats = AgentOptions().heartbeats}};
-  Greeted() {
+  TableWithSession() {
     this->table.Open(kSession, kNow);
     this->table.Greet(kSession, HelloOf(kEntry), kNow);
   }
@@ -29,7 +29,7 @@
     "a session table",
     {It("lets a session lapse one lease after its last renewal",
         [] {
-          Greeted greeted;
+          TableWithSession greeted;
           CHECK(greeted.table.Renew(kSession, RenewOf(kEntry), kNow + 2s));
           CHECK(greeted.table.Expire(kNow + 4999ms).empty());
           CHECK(greeted.table.next_timer() == kNow + 5s);
@@ -44,26 +44,26 @@
           CHECK(!table.IncarnationOf(kSession));
           CHECK(table.Expire(kNow + 3s).size() == 1);
         }),
-     It("ends the sessions of an entry's earlier start, and only those",
+     It("ends the sessions of an entry's earlier incarnation, and only those",
         [] {
-          Greeted greeted;
+          TableWithSession greeted;
           greeted.table.Open(kOther, kNow);
           CHECK(greeted.table.Greet(kOther, HelloOf(kEntry, "e2"), kNow)
                     .ended.empty());
           greeted.table.Open(SessionId(3), kNow);
           CHECK(greeted.table.Greet(SessionId(3), HelloOf(kEntry), kNow)
-                    .ended.empty());  // another shard of the same start
+                    .ended.empty());  // another shard of the same incarnation
           greeted.table.Open(SessionId(4), kNow);
           CHECK(greeted.table.Greet(SessionId(4), HelloOf(kSuccessor), kNow)
                     .ended == (std::vector{kSession, SessionId(3)}));
           CHECK(greeted.table.Contains(kOther));
         }),
-     // Symptom: the streams of a healthy entry end. Sequence: the entry is
-     // replaced while paused; the old process wakes and connects again.
-     // Cause: incarnations are random, a later Hello is not a newer process.
-     It("turns away a start that was superseded before",
+     // Guards against the end of the streams of a healthy entry: the entry is
+     // replaced while paused, and the old process resumes and connects again.
+     // Incarnations are random, so a later Hello does not mean a newer process.
+     It("rejects an incarnation that was superseded before",
         [] {
-          Greeted greeted;
+          TableWithSession greeted;
           greeted.table.Close(kSession);
           greeted.table.Open(kOther, kNow);
           greeted.table.Greet(kOther, HelloOf(kSuccessor), kNow);
@@ -72,13 +72,14 @@
                 ResultCode::kSuperseded);
           CHECK(greeted.table.Contains(kOther));
         }),
-     // Symptom: an entry never got a session with some agents again. Sequence:
-     // it was replaced while paused; agents started since knew its successor
-     // only; it woke, met them first now, and ended. Cause: the successor,
-     // superseded by a start that is gone, was turned away for ever.
-     It("takes a superseded start back once the other has long been away",
+     // Guards against an entry that never gets a session with some agents
+     // again: it is replaced while paused, and agents started since then know
+     // only its successor. It resumes, connects to them first, and ends. The
+     // successor, which this ended incarnation supersedes there, must not be
+     // rejected for ever.
+     It("accepts a superseded incarnation once the other has long been away",
         [] {
-          Greeted greeted;
+          TableWithSession greeted;
           const auto greet = [&](std::uint64_t session, Incarnation start,
                                  Duration after) {
             greeted.table.Open(SessionId(session), kNow + after);
@@ -99,8 +100,8 @@
           CHECK(greet(6, kEntry, 76s) == ResultCode::kOk);
           CHECK(greet(7, kSuccessor, 77s) == ResultCode::kSuperseded);
         }),
-     It("takes a second Hello as a renewal, but not another name", [] {
-       Greeted greeted;
+     It("treats a second Hello as a renewal, but rejects another name", [] {
+       TableWithSession greeted;
        CHECK(greeted.table.Greet(kSession, HelloOf(kEntry), kNow + 1s).code ==
              ResultCode::kOk);
        CHECK(greeted.table.next_timer() == kNow + 4s);
@@ -108,7 +109,7 @@
              ResultCode::kBadFrame);
      })});
 
-enum class Before : std::uint8_t {
+enum class History : std::uint8_t {
   kNothing,
   kOpen,
   kRefused,
@@ -121,7 +122,7 @@
 
 struct OpenCase {
   std::string name;
-  Before before;
+  History before;
   Admission expected;
 };
 
@@ -129,40 +130,41 @@
     "an attempt table",
     {Cases<OpenCase>(
          "that gets a start",
-         {{"knows a first message", Before::kNothing, Admission::kNew},
-          {"knows an attempt under way", Before::kOpen, Admission::kOpen},
-          {"repeats a refusal", Before::kRefused, Admission::kRefusedBefore},
-          {"drops what is over", Before::kEnded, Admission::kEndedBefore},
-          {"supersedes beside a newer one", Before::kNewerOpen,
+         {{"knows a first message", History::kNothing, Admission::kNew},
+          {"knows an attempt under way", History::kOpen, Admission::kOpen},
+          {"repeats a refusal", History::kRefused, Admission::kRefusedBefore},
+          {"drops an attempt that has ended", History::kEnded,
+           Admission::kEndedBefore},
+          {"supersedes beside a newer one", History::kNewerOpen,
            Admission::kSuperseded},
-          {"drops an older one that ran beside a newer one", Before::kRanOlder,
+          {"drops an older one that ran beside a newer one", History::kRanOlder,
            Admission::kEndedBefore},
-          {"supersedes after a newer one", Before::kNewerEnded,
+          {"supersedes after a newer one", History::kNewerEnded,
            Admission::kSuperseded},
-          {"takes a forgotten one as new", Before::kForgotten,
+          {"treats a forgotten attempt as new", History::kForgotten,
            Admission::kNew}},
          [](const OpenCase& row) {
            AttemptTable table({.memory = 15s});
-           const bool newer = row.before == Before::kNewerOpen ||
-                              row.before == Before::kNewerEnded;
+           const bool newer = row.before == History::kNewerOpen ||
+                              row.before == History::kNewerEnded;
            const AttemptId earlier = Attempt(1, newer ? 3 : 2);
-           if (row.before != Before::kNothing) {
+           if (row.before != History::kNothing) {
              table.Open(earlier, kSession, kNow);
            }
-           if (row.before == Before::kRanOlder) {
+           if (row.before == History::kRanOlder) {
              table.Open(Attempt(1, 3), kSession, kNow);
-           } else if (row.before == Before::kRefused) {
+           } else if (row.before == History::kRefused) {
              table.CloseNotRun(earlier, ResultCode::kLinkBusy, kNow);
-           } else if (row.before != Before::kOpen &&
-                      row.before != Before::kNewerOpen) {
+           } else if (row.before != History::kOpen &&
+                      row.before != History::kNewerOpen) {
              table.CloseEnded(earlier, kNow);
            }
-           table.Expire(row.before == Before::kForgotten ? kNow + 15s
-                                                         : kNow + 14s);
+           table.Expire(row.before == History::kForgotten ? kNow + 15s
+                                                          : kNow + 14s);
            const auto opening = table.Open(Attempt(1, 2), kSession, kNow);
            CPPUNIT_ASSERT_EQUAL(NameOf(kAdmissionNames, row.expected),
                                 NameOf(kAdmissionNames, opening.admission));
-           CHECK(row.before != Before::kRefused ||
+           CHECK(row.before != History::kRefused ||
                  opening.code == ResultCode::kLinkBusy);
          }),
      It("names the older attempt that a newer one replaces, once",
