--- a/src/entry/tests/call_test.cc
+++ b/src/entry/tests/call_test.cc
@@ -30,7 +30,8 @@
       protocol::CallAnswered{.attempt = attempt, .answer = {.status = 200}});
 }
 
-// Loses the session and opens it again, with the agent of that incarnation.
+// Closes the session, reopens it with the agent of that incarnation, and
+// returns the attempt of the LookUp if there is one.
 AttemptId LoseAndLookUp(EntryDriver& driver, std::uint64_t incarnation) {
   const std::string home = driver.last_endpoint;
   driver.Close(home);
@@ -56,9 +57,9 @@
               [](EntryDriver& driver, const protocol::StartCall&) {
                 const std::string lost = driver.last_endpoint;
                 driver.Close(lost);
-                const auto again = driver.Expect<protocol::StartCall>();
+                const auto repeated = driver.Expect<protocol::StartCall>();
                 CPPUNIT_ASSERT(lost != driver.last_endpoint);
-                Answer(driver, again.attempt);
+                Answer(driver, repeated.attempt);
               },
               ResultCode::kOk},
              {"it may not be repeated, and the home refuses", "k",
@@ -67,9 +68,9 @@
                               Phase::kCall);
               },
               ResultCode::kOverloaded, Outcome::kNotRun},
-             // Symptom: a number issued twice. Sequence: the connection breaks
-             // while the call runs, and the call is sent elsewhere. Cause: a
-             // lost answer was taken for a call that did not run.
+             // Guards against a call that runs twice: the connection breaks
+             // while the call runs, and the call is sent to another endpoint. A
+             // lost answer does not mean that the call did not run.
              {"it may not be repeated, and its answer is kept at the home", "k",
               [](EntryDriver& driver, const protocol::StartCall&) {
                 Answer(driver, LoseAndLookUp(driver, 7));
@@ -126,9 +127,9 @@
                                 driver.Count<protocol::StartCall>());
            CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.core->alive_requests());
          }),
-     // Symptom: two effects of one submission. Sequence: the caller sends its
-     // key to two entries at once, and each picks an endpoint by load. Cause:
-     // the ledgers of two agents know nothing of each other.
+     // Guards against two effects of one submission: the caller sends its key
+     // to two entries at once, and each picks an endpoint by load, although the
+     // ledgers of two agents share no state.
      It("that may not be repeated has the same home on every entry",
         [] {
           for (const char* key : {"a", "b", "c", "d"}) {
@@ -145,7 +146,7 @@
             CPPUNIT_ASSERT_EQUAL(homes[0], homes[1]);
           }
         }),
-     It("that may not be repeated is bound to one agent's start",
+     It("that may not be repeated is bound to one incarnation of an agent",
         [] {
           ReadyDriver driver;
           driver.Call("POST", "k");
@@ -176,7 +177,7 @@
        }
      })});
 
-// A coordinator that decides when the test says so.
+// A coordinator whose verdicts come from the test.
 class ScriptedOnce : public IOnceCoordinator {
  public:
   void Submit(const OnceSubmission& submission, Instant) override {
@@ -200,7 +201,8 @@
   int withdrawn = 0;
 };
 
-// First among the bases: the driver's core sets it.
+// This is the first base, since the construction of the core in the driver sets
+// it.
 struct OnceSlot {
   ScriptedOnce* once = nullptr;
 };
@@ -241,12 +243,12 @@
   std::uint64_t agent;
   std::function<void(EntryDriver&)> sequence;
   ResultCode code;      // kOk: answered
-  bool closed = false;  // the session with s1
+  bool closed = false;  // closes the session with s1
 };
 
 const testing::Story kCoordinated(
     "a call that may not be repeated",
-    {It("is dispatched only after its claim, and the rule is missed when off",
+    {It("is dispatched only after its claim, and before it without the rule",
         [] {
           for (const bool claim_first : {true, false}) {
             ClaimedDriver driver(claim_first);
@@ -254,7 +256,7 @@
                                  driver.Count<protocol::StartCall>());
           }
         }),
-     It("goes to the claimed home, and is claimed anew when that refuses",
+     It("goes to the claimed home, and is claimed again when that refuses",
         [] {
           ClaimedDriver driver;
           driver.Decide(driver.Run());
@@ -267,10 +269,10 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Calls().size());
           CPPUNIT_ASSERT_EQUAL(1, driver.once->withdrawn);
         }),
-     // Symptom: a claim is run by an agent that never heard of it. Sequence:
-     // the home's agent is replaced while the claim is appended. Cause: the
-     // dispatch looked at the endpoint only.
-     It("is not sent to a home whose agent was replaced meanwhile",
+     // Guards against a claim that runs at an agent which does not know it: the
+     // agent at the home is replaced while the claim is appended, so the
+     // dispatch must check the incarnation besides the endpoint.
+     It("is not sent to a home whose agent was replaced after the claim",
         [] {
           ClaimedDriver driver;
           const OnceRun run = driver.Run();
@@ -282,10 +284,10 @@
                                driver.Count<protocol::StartCall>());
           CPPUNIT_ASSERT_EQUAL(std::size_t{2}, driver.once->submissions.size());
         }),
-     // Symptom: a billed summary was made for a caller that had given up.
-     // Sequence: the entry was paused past the caller's deadline; it woke, and
-     // read the log's answer to the claim before its timers ran. Cause: only
-     // the timers looked at the deadline.
+     // Guards against a billed call for a caller that has given up: the entry
+     // is paused past the deadline of the caller, resumes, and reads the answer
+     // of the log to the claim before its timers run. The deadline must be
+     // checked outside the timers, too.
      It("is not sent when its deadline passed while the process was paused",
         [] {
           ClaimedDriver driver;
@@ -304,7 +306,7 @@
                                driver.Count<protocol::StartCall>());
           CPPUNIT_ASSERT(driver.Errors().at(0).outcome == Outcome::kNotRun);
         }),
-     It("asks the home of an earlier submission for its answer",
+     It("queries the home of an earlier submission for its answer",
         [] {
           ClaimedDriver driver;
           driver.Decide(OnceLookUp{.request = driver.request,
@@ -320,12 +322,12 @@
                                driver.Count<protocol::StartCall>());
         }),
      ForEach<TicketUse>(
-         "goes to its ticket's own home",
+         "goes to the home of its ticket",
          {{"which answers, though the whole pool is leaving", "s1", 7,
            [](EntryDriver&) {}, ResultCode::kOk},
-          // Symptom: a good ticket is called invalid. Sequence: the session
-          // with its home breaks for a moment. Cause: a home without a
-          // session was taken for one that is gone.
+          // Guards against the rejection of a valid ticket: the session with
+          // its home breaks for a short time, and a home without a session is
+          // not a home that is gone.
           {"which is waited for while its session is opened again", "s1", 7,
            [](EntryDriver& driver) {
              driver.AdvanceBy(150ms);
@@ -363,7 +365,7 @@
            CPPUNIT_ASSERT(driver.Errors().at(0).code == use.code);
            CPPUNIT_ASSERT(driver.Errors()[0].outcome == Outcome::kUnknown);
          }),
-     It("is refused as the coordinator says", [] {
+     It("is refused with the code of the coordinator", [] {
        ClaimedDriver driver;
        driver.Decide(OnceRefuse{.request = driver.request});
        CPPUNIT_ASSERT(driver.Errors().at(0).code ==
--- a/src/entry/tests/entry_driver.cc
+++ b/src/entry/tests/entry_driver.cc
@@ -15,7 +15,7 @@
   return kRoles.at(endpoint.front());
 }
 
-EntryOptions Named(EntryOptions options) {
+EntryOptions WithIdentity(EntryOptions options) {
   options.id = EntryId("entry-1");
   options.incarnation = Incarnation(99);
   options.domain = FailureDomain("a");
@@ -33,7 +33,7 @@
 }  // namespace
 
 EntryDriver::EntryDriver(EntryOptions options)
-    : core(std::make_unique<EntryCore>(Named(std::move(options)),
+    : core(std::make_unique<EntryCore>(WithIdentity(std::move(options)),
                                        this->random)) {}
 
 manifest::Manifest EntryDriver::DefaultManifest() {
@@ -239,8 +239,8 @@
   this->Collect();
   std::string text;
   for (const EntryAction& action : this->answers) {
-    if (const auto* piece = std::get_if<AnswerText>(&action)) {
-      text += piece->text;
+    if (const auto* answer = std::get_if<AnswerText>(&action)) {
+      text += answer->text;
     }
   }
   return text;
--- a/src/entry/tests/entry_driver.h
+++ b/src/entry/tests/entry_driver.h
@@ -14,18 +14,18 @@
 
 namespace acacialug::entry {
 
-// Drives one EntryCore in virtual time: plays the agents by hand, and keeps
-// what the core asked for.
+// Drives one EntryCore in virtual time: the test acts as the agents, and the
+// driver keeps the actions that the core requests.
 class EntryDriver {
  public:
   explicit EntryDriver(EntryOptions options = {});
 
-  // The manifest with 2 prefill, 2 decode and 2 plain endpoints (p1, p2, d1,
-  // d2, s1, s2), services "lm" (model "m") and "app".
+  // Returns the manifest with 2 prefill, 2 decode and 2 plain endpoints (p1,
+  // p2, d1, d2, s1, s2) and the services "lm" (model "m") and "app".
   static manifest::Manifest DefaultManifest();
 
   void Apply(manifest::Manifest manifest);
-  // Opens the sessions of all endpoints that the core wants.
+  // Opens the sessions of all endpoints to which the core connects.
   void OpenAll();
   void Open(const std::string& endpoint, std::uint64_t incarnation = 7);
 
@@ -38,13 +38,14 @@
   void Deliver(const std::string& endpoint,
                const protocol::AgentToEntry& message);
   void Close(const std::string& endpoint);
-  // Moves time on, running the core's timers on the way; agents renew.
+  // Advances the time and runs the timers of the core. Agents answer renewals
+  // if `renew` is set.
   void AdvanceBy(Duration duration, bool renew = true);
-  // Jumps over a pause of the process: no timer runs inside it.
+  // Advances the time by a stall of the process, in which no timer runs.
   void Stall(Duration duration) { this->now += duration; }
 
-  // Takes the oldest message of that type not yet looked at; fails if there
-  // is none. Messages before it stay.
+  // Removes and returns the oldest message of that type; fails if there is
+  // none. Earlier messages of other types stay.
   template <typename Message>
   Message Expect(std::string* endpoint = nullptr) {
     this->Collect();
@@ -73,11 +74,11 @@
     return count;
   }
 
-  // The steps of the usual path, answered as a healthy agent would.
+  // These are the steps of the usual path, answered as a healthy agent does.
   AttemptId Reserve(std::string* decode = nullptr, Duration available_in = {});
   AttemptId Prefill(std::string* prefill = nullptr, Duration lifetime = 800ms);
   AttemptId Decode(std::string* decode = nullptr);
-  // All three, and the first chunk of the answer.
+  // Runs all three steps, and delivers the first chunk of the answer.
   AttemptId Stream(std::string* decode, const std::string& text);
   void Refuse(const std::string& endpoint,
               const AttemptId& attempt,
@@ -96,7 +97,7 @@
            const AttemptId& attempt,
            std::uint64_t chunks);
 
-  std::string Text();  // of all AnswerText so far
+  std::string Text();  // of every AnswerText to date
   std::vector<AnswerError> Errors();
   std::size_t Ends();
   std::vector<AnswerCall> Calls();
@@ -105,7 +106,7 @@
   Instant now{1h};
   std::vector<SendToAgent> sent;
   std::string last_endpoint;
-  AttemptId last_attempt;  // for the tests' own use
+  AttemptId last_attempt;  // set and read by tests only
 
  private:
   void Collect();
--- a/src/entry/tests/generation_test.cc
+++ b/src/entry/tests/generation_test.cc
@@ -23,7 +23,7 @@
                                driver.Count<protocol::StartPrefill>());
           std::string decode;
           const AttemptId attempt = driver.Stream(&decode, "one ");
-          driver.Expect<protocol::Cancel>();  // the export may go
+          driver.Expect<protocol::Cancel>();  // of the export
           driver.Chunk(decode, attempt, 1, "two");
           driver.End(decode, attempt, 2);
           CPPUNIT_ASSERT_EQUAL(std::string("one two"), driver.Text());
@@ -32,7 +32,7 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::Cancel>());
         }),
-     It("gives everything back when its caller is gone",
+     It("releases all it holds when its caller is gone",
         [] {
           ReadyDriver driver;
           const RequestId request = driver.Generate();
@@ -50,7 +50,7 @@
           driver.Reserve();
           driver.Decode();
         }),
-     It("starts its prefill late for a slot that is promised for later",
+     It("delays its prefill for a slot that is promised for a later time",
         [] {
           ReadyDriver driver;
           driver.Generate();
@@ -61,10 +61,10 @@
           driver.AdvanceBy(100ms);
           driver.Prefill();
         }),
-     // Symptom: reservations and refusals outnumber requests by hundreds under
-     // overload. Sequence: a full pool is asked again every few milliseconds.
-     // Cause: what the refusals told of the next free slot was not used.
-     It("does not ask a full pool again before a slot is expected",
+     // Guards against hundreds of reservations and refusals per request under
+     // overload: a full pool is queried every few milliseconds if the retry
+     // time in a refusal is ignored.
+     It("does not query a full pool again before a slot is expected",
         [] {
           ReadyDriver driver;
           driver.Generate();
@@ -98,7 +98,7 @@
                       SequenceNumber(1));
      })});
 
-// One fault, and what has to follow from it.
+// A fault, together with the messages that must follow from it.
 struct Fault {
   const char* name;
   std::function<void(EntryDriver&)> sequence;
@@ -107,10 +107,11 @@
 const testing::Story kStartFaults(
     "a generation that is being started",
     {ForEach<Fault>(
-        "keeps what it has when",
+        "keeps its remaining progress when",
         {
-            // Symptom: a full decode endpoint makes requests fail. Sequence:
-            // the reservation is refused. Cause: the load hint was old.
+            // Guards against requests that fail because of a full decode
+            // endpoint: the reservation is refused because the load hint was
+            // stale.
             {"a reservation is refused",
              [](EntryDriver& driver) {
                std::string first;
@@ -121,8 +122,8 @@
                CPPUNIT_ASSERT(first != second);
                driver.Prefill();
              }},
-            // Symptom: a request hangs on a silent agent. Sequence: Reserve,
-            // no answer; much later the answer comes. Cause: a stalled host.
+            // Guards against a request that hangs on an unresponsive agent: the
+            // host is stalled, and the answer to the Reserve comes much later.
             {"an agent does not answer a reservation",
              [](EntryDriver& driver) {
                std::string first;
@@ -156,8 +157,9 @@
                driver.Close(first);
                driver.Prefill();
              }},
-            // Symptom: a prefill done twice. Sequence: the decode endpoint
-            // dies while the prefill runs. Cause: both were given up as one.
+            // Guards against a prefill that is done twice: the decode endpoint
+            // dies while the prefill runs, and the loss of the reservation must
+            // not cancel the prefill.
             {"its reservation is lost during the prefill",
              [](EntryDriver& driver) {
                std::string first;
@@ -166,10 +168,10 @@
                driver.Reserve();
                driver.Prefill();
              }},
-            // Symptom: links refuse as busy that carry nothing. Sequence: the
-            // reservation is made again while the prefill runs. Cause: its
-            // transfer was announced for now.
-            {"its reservation is made again for when the prefill is done",
+            // Guards against idle links that refuse as busy: the reservation is
+            // made again while the prefill runs, and its transfer must not be
+            // announced for the present time.
+            {"its reservation is made again for the end of the prefill",
              [](EntryDriver& driver) {
                std::string first;
                driver.Reserve(&first);
@@ -184,11 +186,11 @@
                               protocol::Prefilled{.attempt = start.attempt,
                                                   .lifetime = 800ms});
              }},
-            // Symptom: a finished prefill is evicted beside a link that comes
-            // free. Sequence: the link refuses until long after the export's
-            // end, and is not asked again before. Cause: that advice counts
-            // windows which a transfer that is ready may pass.
-            {"its export would be gone by the time a busy link advises",
+            // Guards against a finished prefill that is evicted although a link
+            // becomes free: the link refuses until long after the end of the
+            // export, and is not queried before then. That retry time counts
+            // windows before which a ready transfer may be granted.
+            {"its export would be gone by the retry time of a busy link",
              [](EntryDriver& driver) {
                std::string first;
                driver.Reserve(&first);
@@ -232,9 +234,9 @@
                driver.Refuse(decode, attempt, Phase::kDecode);
                driver.Reserve();
              }},
-            // Symptom: a decode waits for a KV cache that is gone. Sequence:
-            // the export is evicted before it is fetched. Cause: it lives for
-            // less than a second.
+            // Guards against a decode that waits for a KV cache that is gone:
+            // the export, which lives for less than a second, is evicted before
+            // it is fetched.
             {"the export is gone before the import",
              [](EntryDriver& driver) {
                driver.Reserve();
@@ -293,9 +295,9 @@
                driver.AdvanceBy(5s);
                driver.Expect<protocol::Cancel>();
              }},
-            // Symptom: an answer lacks a piece in its middle. Sequence: one
-            // chunk is lost, later ones and the end arrive. Cause: the end
-            // was believed without counting.
+            // Guards against an answer that lacks a part in its middle: a chunk
+            // is lost, and later chunks and the end arrive. The number of
+            // chunks must be checked at the end.
             {"a chunk is lost before the end",
              [](EntryDriver& driver) {
                driver.Chunk(driver.last_endpoint, driver.last_attempt, 2, "c");
@@ -330,9 +332,9 @@
               driver.last_endpoint,
               protocol::Prefilled{.attempt = start.attempt, .lifetime = 800ms});
           const AttemptId attempt = driver.Decode(&decode);
-          driver.Chunk(decode, attempt, 1, "three");  // early
+          driver.Chunk(decode, attempt, 1, "three");  // out of order
           driver.Chunk(decode, attempt, 0, "two ");
-          driver.Chunk(decode, attempt, 0, "two ");  // doubled
+          driver.Chunk(decode, attempt, 0, "two ");  // a duplicate
           driver.End(decode, attempt, 2);
           CPPUNIT_ASSERT_EQUAL(std::string("one two three"), driver.Text());
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Ends());
@@ -341,13 +343,13 @@
 
 const testing::Story kComputedAgain(
     "a prompt that is computed again",
-    {// Symptom: a decode endpoint dies, and as many whole prompts as it had
-     // streams are computed again, though prefill engines still cache them.
-     // Sequence: the stream is lost, the prefill endpoint of its first run is
-     // among the tried ones, and another one gets the prompt. Cause: tried
-     // means failed, and that one had not failed.
+    {// Guards against whole prompts that are computed again, one for each
+     // stream of a dead decode endpoint, although prefill engines still cache
+     // them: the stream is lost, and another endpoint gets the prompt because
+     // the prefill endpoint of the first run is among the tried endpoints. A
+     // tried endpoint has not necessarily failed.
      ForEach<const char*>(
-         "goes where its first run left it in the cache, from each endpoint:",
+         "goes to the endpoint that caches it from its first run, other than",
          {"p1", "p2"},
          [](const char* name) { return std::string(name); },
          [](const char* busy) {
@@ -365,9 +367,9 @@
            driver.OpenAll();
            driver.Close(decode);
            driver.Reserve();
-           std::string again;
-           driver.Prefill(&again);
-           CPPUNIT_ASSERT_EQUAL(first, again);
+           std::string second_prefill;
+           driver.Prefill(&second_prefill);
+           CPPUNIT_ASSERT_EQUAL(first, second_prefill);
          })});
 
 struct Ending {
@@ -387,13 +389,13 @@
 const testing::Story kEndings(
     "a generation that cannot be completed",
     {ForEach<Ending>(
-        "is answered once and at once when",
+        "is answered once and without delay when",
         {
-            // Symptom: one bad parameter kept a whole pool busy, and its caller
-            // was told, half a minute later, that there was no room. Sequence:
-            // the engine refuses the request as invalid; it is tried at every
-            // endpoint, over and over, until its patience ends. Cause: what is
-            // the request's own fault was taken for the endpoint's.
+            // Guards against an invalid parameter that keeps a whole pool busy
+            // until its caller gets a refusal for lack of capacity half a
+            // minute later: the engine refuses the request as invalid, and it
+            // is retried at every endpoint until its time is up. A fault of the
+            // request itself is not a fault of the endpoint.
             {"the engine finds the request itself invalid",
              {},
              [](EntryDriver& driver) {
@@ -409,7 +411,7 @@
              StreamThenClose,
              ResultCode::kEndpointLost,
              Outcome::kUnknown},
-            {"it was tried as often as is allowed",
+            {"it has used all attempts that are allowed",
              {.max_attempts = 2},
              [](EntryDriver& driver) {
                StreamThenClose(driver);
@@ -426,7 +428,7 @@
              },
              ResultCode::kSlowReader,
              Outcome::kUnknown},
-            {"no decode endpoint has room in time",
+            {"no decode endpoint has capacity in time",
              {},
              [](EntryDriver& driver) {
                while (driver.Errors().empty()) {
@@ -476,15 +478,13 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.core->alive_requests());
         })});
 
-// Each rule that a test may switch off: with it the breach does not happen,
-// without it it does, so that a checker can be shown to catch its absence.
 const testing::Story kDoubled(
-    "a message that comes twice",
-    {// Symptom: a prefill runs and its result has no place to go. Sequence:
-     // the answer to a reservation comes a second time while the prefill is
-     // under way. Cause: it was dropped as a superseded one is, and what it
-     // tells of cancelled; but that is the reservation still held.
-     It("does not cancel what the request holds", [] {
+    "a duplicate message",
+    {// Guards against a prefill whose result has no reserved memory: the answer
+     // to a reservation comes a second time while the prefill runs. It must not
+     // be treated as an answer to a superseded attempt, whose reservation is
+     // cancelled, since the request still holds this reservation.
+     It("does not cancel a reservation that the request holds", [] {
        ReadyDriver driver;
        driver.Generate();
        std::string decode;
@@ -497,6 +497,8 @@
        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Count<protocol::Cancel>());
      })});
 
+// A rule that a test can switch off. The breach occurs only without the rule,
+// which shows that a checker detects its absence.
 struct Rule {
   const char* name;
   bool EntryRules::*rule;
@@ -506,7 +508,7 @@
 const testing::Story kRules(
     "a rule of the entry",
     {ForEach<Rule>(
-        "holds, and is missed when it is off:",
+        "holds, and is broken when it is off:",
         {{"frames of superseded attempts are dropped",
           &EntryRules::check_attempts,
           [](EntryDriver& driver) {
@@ -518,7 +520,7 @@
             driver.Chunk(lost, old, 1, "late");
             return driver.Text() != "onetwo";
           }},
-         {"chunks are passed on once and in order", &EntryRules::check_sequence,
+         {"chunks are forwarded once and in order", &EntryRules::check_sequence,
           [](EntryDriver& driver) {
             std::string decode;
             const AttemptId attempt = driver.Stream(&decode, "one");
--- a/src/entry/tests/log_once_test.cc
+++ b/src/entry/tests/log_once_test.cc
@@ -16,10 +16,10 @@
 constexpr once::WallMilliseconds kKeyTime{0x018f00000000};
 constexpr Instant kStart{1s};
 
-// One entry's coordinator on a log that two entries share.
+// The coordinator of one entry, on a log that two entries share.
 struct Entry {
   std::vector<std::string>& log;
-  bool log_out = false;
+  bool log_unavailable = false;
   RandomSource random;
   LogOnce once;
   std::vector<OnceVerdict> verdicts;
@@ -34,13 +34,13 @@
     this->AdvanceBy({});
   }
 
-  // Time passes, by both clocks.
-  void Sleep(once::WallMilliseconds time) {
+  // Advances both clocks.
+  void AdvanceClocks(once::WallMilliseconds time) {
     this->now += time;
     this->wall += time;
   }
 
-  // True when the submission was let run.
+  // Returns whether the submission may run.
   bool Runs(const OnceSubmission& submission) {
     this->once.Submit(submission, this->now);
     this->AdvanceBy(20ms);
@@ -59,7 +59,7 @@
             .home_agent = Incarnation(7)};
   }
 
-  // Carries out what the coordinator asks of the log, until it asks nothing.
+  // Carries out the log requests of the coordinator until there are none.
   void AdvanceBy(Duration time) {
     this->now += time;
     this->once.OnTimer(this->now);
@@ -80,13 +80,13 @@
   }
 
   void Append(const AppendClaims& append) {
-    if (!this->log_out) {
+    if (!this->log_unavailable) {
       this->log.push_back(append.payload);
     }
     this->once.OnClaimsAppended(
         {.ticket = append.ticket,
-         .outcome = this->log_out ? AppendOutcome::kNotAppended
-                                  : AppendOutcome::kAppended,
+         .outcome = this->log_unavailable ? AppendOutcome::kNotAppended
+                                          : AppendOutcome::kAppended,
          .offset = LogOffset(this->log.size())},
         this->now);
   }
@@ -102,7 +102,7 @@
   }
 
   template <typename Verdict>
-  Verdict Last() {
+  Verdict LastVerdict() {
     CPPUNIT_ASSERT(!this->verdicts.empty());
     const auto* verdict = std::get_if<Verdict>(&this->verdicts.back());
     CPPUNIT_ASSERT_MESSAGE("another kind of verdict", verdict != nullptr);
@@ -119,12 +119,11 @@
 
 const testing::Story kLogOnce(
     "at most once by the log",
-    {// Symptom: one key ran twice, a day apart.
-     // Sequence: the key's time lay ahead of the host's clock, within what is
-     // let pass, or the host's clock was set back; the claim was forgotten a
-     // day after its use, while the key still counted as young.
-     // Cause: a key was taken for as long as its claim is remembered, with
-     // nothing left over for clocks that differ.
+    {// Guards against a key that runs twice, a day apart: the time of the key
+     // is ahead of the clock of the host within the tolerance, or that clock
+     // was set back. The claim is forgotten a day after its use while the key
+     // still counts as young. The time for which a key is accepted must leave a
+     // margin for clocks that differ.
      ForEach<LateUse>(
          "runs no key a second time",
          {{"that was ahead of the clock, a day later", -5min, 24h + 1min,
@@ -139,16 +138,15 @@
            Entry entry(log, 1);
            entry.wall += row.at_first;
            CPPUNIT_ASSERT(entry.Runs(entry.Submission("s1")));
-           entry.Sleep(row.after);
+           entry.AdvanceClocks(row.after);
            log.emplace_back("another's record");
            entry.AdvanceBy({});
            entry.wall += row.at_second - row.at_first;
            CPPUNIT_ASSERT(!entry.Runs(entry.Submission("s2")));
          }),
      ForEach<Duration>(
-         "takes keys for so much less than the log keeps claims that clocks "
-         "may "
-         "differ, when it keeps them for",
+         "accepts keys for less time than the log keeps claims, by a margin "
+         "for differing clocks, when it keeps them for",
          {1min, 1h, 24h, 168h},
          [](const Duration& retention) {
            return std::to_string(Seconds(retention)) + " s";
@@ -160,35 +158,35 @@
                           retention > 24h);
            CPPUNIT_ASSERT(taken <= std::min(retention, Duration(24h)));
          }),
-     It("takes keys again once a clock that ran ahead is right",
+     It("accepts keys again once a clock that was ahead is correct",
         [] {
           std::vector<std::string> log;
           Entry entry(log, 1);
           entry.wall += 48h;
           CPPUNIT_ASSERT(!entry.Runs(entry.Submission("s1")));
           CPPUNIT_ASSERT(ResultCode::kKeyTooOld ==
-                         entry.Last<OnceRefuse>().code);
+                         entry.LastVerdict<OnceRefuse>().code);
           entry.wall -= 48h;
           CPPUNIT_ASSERT(entry.Runs(entry.Submission("s1")));
         }),
-     // Symptom: one ISBN order ran twice. Sequence: the caller's first library
-     // writes a UUID in capitals, the one that resubmits does not. Cause: the
-     // two texts of one UUID (RFC 9562, section 4) were two keys.
-     It("knows a key again when it is written in capitals",
+     // Guards against a call that runs twice: the first library of the caller
+     // writes a UUID in capitals, and the library that submits it again does
+     // not. Both texts are one UUID (RFC 9562, section 4) and thus one key.
+     It("recognizes a key that is written in capitals",
         [] {
           std::vector<std::string> log;
           Entry entry(log, 1);
           CPPUNIT_ASSERT(entry.Runs(entry.Submission("s1")));
           CPPUNIT_ASSERT(!entry.Runs(
               entry.Submission("s2", "018F0000-0000-7ABC-8DEF-0123456789AB")));
-          CPPUNIT_ASSERT(EndpointId("s1") == entry.Last<OnceLookUp>().home);
+          CPPUNIT_ASSERT(EndpointId("s1") ==
+                         entry.LastVerdict<OnceLookUp>().home);
         }),
-     // Symptom: of a doubled submission both copies ran.
-     // Sequence: the caller's network sent it to two entries at once.
-     // Cause: each entry bound the key to a home of its own.
-     It("runs a doubled submission at one home, and asks that home on the "
-        "other "
-        "entry",
+     // Guards against a duplicate submission of which both copies run: the
+     // network of the caller sends it to two entries at once, and each entry
+     // binds the key to a home of its own.
+     It("runs a duplicate submission at one home, and queries that home on the "
+        "other entry",
         [] {
           std::vector<std::string> log;
           Entry first(log, 1);
@@ -197,34 +195,39 @@
           second.once.Submit(second.Submission("s2"), second.now);
           first.AdvanceBy(20ms);
           second.AdvanceBy(20ms);
-          CPPUNIT_ASSERT(EndpointId("s1") == first.Last<OnceRun>().home);
-          CPPUNIT_ASSERT(EndpointId("s1") == second.Last<OnceLookUp>().home);
-          // The home sealed the key: the second entry may now move it, and
-          // the first, whose dispatch was refused, then finds it moved.
+          CPPUNIT_ASSERT(EndpointId("s1") == first.LastVerdict<OnceRun>().home);
+          CPPUNIT_ASSERT(EndpointId("s1") ==
+                         second.LastVerdict<OnceLookUp>().home);
+          // The home has sealed the key, so the second entry may now rebind it.
+          // The first entry, whose dispatch was refused, then finds the new
+          // home.
           second.once.OnRefused(second.Submission("s2"), second.now);
           second.AdvanceBy(20ms);
-          CPPUNIT_ASSERT(EndpointId("s2") == second.Last<OnceRun>().home);
+          CPPUNIT_ASSERT(EndpointId("s2") ==
+                         second.LastVerdict<OnceRun>().home);
           first.once.OnRefused(first.Submission("s3"), first.now);
           first.AdvanceBy(20ms);
-          CPPUNIT_ASSERT(EndpointId("s2") == first.Last<OnceLookUp>().home);
+          CPPUNIT_ASSERT(EndpointId("s2") ==
+                         first.LastVerdict<OnceLookUp>().home);
         }),
-     It("refuses a key as not run while the log is out, and runs a ticket",
+     It("refuses a key as not run while the log is down, and runs a ticket",
         [] {
           std::vector<std::string> log;
           Entry entry(log, 1);
-          entry.log_out = true;
+          entry.log_unavailable = true;
           entry.once.Submit(entry.Submission("s1"), entry.now);
           entry.AdvanceBy(20ms);
           CPPUNIT_ASSERT(ResultCode::kLogUnavailable ==
-                         entry.Last<OnceRefuse>().code);
+                         entry.LastVerdict<OnceRefuse>().code);
           OnceSubmission ticketed = entry.Submission("s1", "");
           ticketed.ticket = once::EncodeTicket(once::IssueTicket(
               {.endpoint = EndpointId("s2"), .agent = Incarnation(9)}, kKeyTime,
               entry.random));
           entry.once.Submit(ticketed, entry.now);
           entry.AdvanceBy({});
-          CPPUNIT_ASSERT(EndpointId("s2") == entry.Last<OnceRun>().home);
-          CPPUNIT_ASSERT(Incarnation(9) == entry.Last<OnceRun>().once.home);
+          CPPUNIT_ASSERT(EndpointId("s2") == entry.LastVerdict<OnceRun>().home);
+          CPPUNIT_ASSERT(Incarnation(9) ==
+                         entry.LastVerdict<OnceRun>().once.home);
         }),
      It("gives no verdict on a submission that was withdrawn",
         [] {
@@ -246,7 +249,7 @@
            Entry entry(log, 1);
            entry.once.Submit(entry.Submission("s1", row.first), entry.now);
            entry.AdvanceBy({});
-           CPPUNIT_ASSERT(row.second == entry.Last<OnceRefuse>().code);
+           CPPUNIT_ASSERT(row.second == entry.LastVerdict<OnceRefuse>().code);
          })});
 
 }  // namespace
--- a/src/entry/tests/sessions_test.cc
+++ b/src/entry/tests/sessions_test.cc
@@ -18,10 +18,11 @@
   ResultCode code;
 };
 
-// The answer to a heartbeat that was sent then, for every session.
-void Beat(EntryDriver& driver,
-          Instant sent_at,
-          const std::function<void(heartbeat::SessionRenewal&)>& change = {}) {
+// Delivers the answer to a heartbeat sent at `sent_at`, for every session.
+void AnswerHeartbeat(
+    EntryDriver& driver,
+    Instant sent_at,
+    const std::function<void(heartbeat::SessionRenewal&)>& change = {}) {
   heartbeat::SessionRenewal renewal{
       .session = {.agent = Incarnation(7)}, .sent_at = sent_at, .lease = 3s};
   if (change) {
@@ -32,7 +33,7 @@
   }
 }
 
-struct BeatRow {
+struct HeartbeatCase {
   const char* name;
   std::function<void(heartbeat::SessionRenewal&)> change;
 };
@@ -44,7 +45,7 @@
           ReadyDriver driver;
           driver.AdvanceBy(10s);
           driver.Generate();
-          driver.Reserve();  // open still
+          driver.Reserve();  // the session is still open
           driver.AdvanceBy(4s, false);
           driver.Generate();
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
@@ -54,10 +55,10 @@
           driver.Reserve();
           driver.Reserve();
         }),
-     // Symptom: a prefill on a reservation that another entry now holds.
-     // Sequence: the entry is paused for longer than its lease with an answer
-     // waiting in its socket, wakes, and acts on it. Cause: it did not look
-     // at its clock first.
+     // Guards against a prefill on a reservation that another entry now holds:
+     // the entry is paused for longer than its lease with an answer in its
+     // socket, and resumes. It must check its clock before it acts on the
+     // answer.
      It("that lapsed during a pause of the process is not acted on",
         [] {
           ReadyDriver driver;
@@ -69,10 +70,11 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::StartPrefill>());
         }),
-     // Symptom: a healthy stream is run again. Sequence: the entry is paused
-     // for longer than the stall timeout but not than its lease, and wakes
-     // with the chunks waiting in its socket. Cause: its timers ran first.
-     It("outlives a pause in which only this process stood still",
+     // Guards against a healthy stream that is run again: the entry is paused
+     // for longer than the stall timeout but not longer than its lease, and
+     // resumes with the chunks in its socket. Its timers run before the chunks
+     // are read.
+     It("survives a stall of this process alone",
         [] {
           ReadyDriver driver({.stall_timeout = 2s});
           const RequestId request = driver.Generate();
@@ -95,32 +97,32 @@
         [] {
           ReadyDriver driver;
           for (int beat = 0; beat < 20; ++beat) {
-            Beat(driver, driver.now);
+            AnswerHeartbeat(driver, driver.now);
             driver.AdvanceBy(1s, false);
           }
           driver.Generate();
           driver.Reserve();
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.Count<protocol::Renew>());
         }),
-     // Symptom: all streams of an entry end when a firewall drops its
-     // datagrams. Sequence: heartbeats are lost, the connection stands.
-     // Cause: nothing else renewed the lease.
+     // Guards against the end of all streams of an entry when a firewall drops
+     // its datagrams: heartbeats are lost while the connection stays open, so
+     // frames must renew the lease, too.
      It("is renewed by frames when heartbeats stop, before its lease is at "
         "risk",
         [] {
           ReadyDriver driver;
-          Beat(driver, driver.now);
+          AnswerHeartbeat(driver, driver.now);
           driver.AdvanceBy(1400ms, false);
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.Count<protocol::Renew>());
           driver.AdvanceBy(10s);
           driver.Generate();
           driver.Reserve();
         }),
-     ForEach<BeatRow>(
+     ForEach<HeartbeatCase>(
          "is lost in spite of a heartbeat's answer that",
-         {{"was asked for before its lease began",
+         {{"was requested before its lease began",
            [](heartbeat::SessionRenewal& renewal) { renewal.sent_at -= 3s; }},
-          {"is of another start of the agent",
+          {"is of another incarnation of the agent",
            [](heartbeat::SessionRenewal& renewal) {
              renewal.session.agent = Incarnation(8);
            }},
@@ -128,27 +130,28 @@
            [](heartbeat::SessionRenewal& renewal) {
              renewal.session.number = 1;
            }}},
-         [](const BeatRow& row) { return row.name; },
-         [](const BeatRow& row) {
+         [](const HeartbeatCase& row) { return row.name; },
+         [](const HeartbeatCase& row) {
            ReadyDriver driver;
            const Instant opened = driver.now;
            driver.AdvanceBy(2s, false);
-           Beat(driver, driver.now, row.change);
+           AnswerHeartbeat(driver, driver.now, row.change);
            driver.now = opened + 3s;
            driver.Generate();
            CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                 driver.Count<protocol::Reserve>());
          }),
-     // Symptom: an entry acts on a reservation that another now holds.
-     // Sequence: it is paused past its lease, and wakes with the answer to a
-     // heartbeat in its socket. Cause: the answer counted from its arrival.
-     It("that lapsed during a pause is not brought back by a late answer",
+     // Guards against an entry that acts on a reservation which another entry
+     // now holds: it is paused past its lease and resumes with the answer to a
+     // heartbeat in its socket. The lease counts from the time at which the
+     // heartbeat was sent, not from the arrival of the answer.
+     It("that lapsed during a pause is not revived by a late answer",
         [] {
           ReadyDriver driver;
           const Instant sent_at = driver.now;
           driver.Stall(3s);
-          Beat(driver, sent_at);
-          Beat(driver, driver.now);
+          AnswerHeartbeat(driver, sent_at);
+          AnswerHeartbeat(driver, driver.now);
           driver.Generate();
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::Reserve>());
@@ -156,16 +159,17 @@
      It("follows the longer lease that a heartbeat brings",
         [] {
           ReadyDriver driver;
-          Beat(driver, driver.now,
-               [](heartbeat::SessionRenewal& renewal) { renewal.lease = 30s; });
+          AnswerHeartbeat(
+              driver, driver.now,
+              [](heartbeat::SessionRenewal& renewal) { renewal.lease = 30s; });
           driver.AdvanceBy(14s, false);
           driver.Generate();
           driver.Reserve();
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, driver.Count<protocol::Renew>());
         }),
-     // Symptom: a leaving endpoint gets work again. Sequence: a heartbeat's
-     // answer is overtaken by the word that its agent leaves. Cause: the answer
-     // was taken for the newer.
+     // Guards against new work for a leaving endpoint: the Leaving message of
+     // the agent overtakes the answer to a heartbeat, which then must not count
+     // as the newer state.
      It("is not taken back into use by an answer that was overtaken",
         [] {
           ReadyDriver driver;
@@ -178,7 +182,7 @@
           const Instant sent_at = driver.now;
           driver.AdvanceBy(10ms);
           driver.Deliver("d1", protocol::Leaving{});
-          Beat(driver, sent_at, stays);
+          AnswerHeartbeat(driver, sent_at, stays);
           driver.Generate();
           std::string decode;
           driver.Reserve(&decode);
@@ -186,11 +190,11 @@
           driver.AdvanceBy(10ms);
           driver.Deliver("d2", protocol::Leaving{});
           driver.AdvanceBy(10ms);
-          Beat(driver, driver.now, stays);  // both came back
+          AnswerHeartbeat(driver, driver.now, stays);  // both serve again
           driver.Generate();
           driver.Reserve();
         }),
-     It("hears from a heartbeat that its endpoint is leaving",
+     It("learns from a heartbeat that its endpoint is leaving",
         [] {
           ReadyDriver driver;
           driver.core->OnHeartbeat(EndpointId("d1"),
@@ -219,9 +223,10 @@
             CPPUNIT_ASSERT_EQUAL(std::string("d2"), decode);
           }
         }),
-     // Symptom: a leaving endpoint takes work and never ends. Sequence: a
-     // manifest lets an idle endpoint leave; every entry drops its session.
-     // Cause: agents hear of manifests from entries, and none had told it.
+     // Guards against a leaving endpoint that takes work and never ends: a
+     // manifest lets an idle endpoint leave, and every entry drops its session.
+     // Agents learn of manifests from entries only, so an entry must report the
+     // manifest first.
      It("names the manifest that ends it before it is dropped",
         [] {
           ReadyDriver driver;
@@ -229,10 +234,10 @@
           next.offset = LogOffset(9);
           next.endpoints[2].leaving = true;  // d1
           driver.Apply(std::move(next));
-          std::string told;
-          CPPUNIT_ASSERT(driver.Expect<protocol::Renew>(&told).manifest ==
+          std::string endpoint;
+          CPPUNIT_ASSERT(driver.Expect<protocol::Renew>(&endpoint).manifest ==
                          LogOffset(9));
-          CPPUNIT_ASSERT_EQUAL(std::string("d1"), told);
+          CPPUNIT_ASSERT_EQUAL(std::string("d1"), endpoint);
         }),
      It("with an endpoint that is leaving gets no new work", [] {
        ReadyDriver driver;
@@ -249,7 +254,7 @@
     "a request that arrives",
     {ForEach<Refusal>(
          "is refused as not run when",
-         {{"no manifest is in force",
+         {{"no manifest is active",
            {},
            [](EntryDriver&) {},
            ResultCode::kNotReady},
@@ -276,7 +281,7 @@
              }
            },
            ResultCode::kOverloaded},
-          {"its caller is over its rate",
+          {"its caller exceeds its rate",
            {},
            [](EntryDriver& driver) {
              manifest::Manifest manifest = EntryDriver::DefaultManifest();
@@ -343,7 +348,7 @@
           driver.End(decode, attempt, 1);
           CPPUNIT_ASSERT(driver.core->drained());
         }),
-     It("ends under the manifest that it began under",
+     It("ends under the manifest under which it began",
         [] {
           ReadyDriver driver;
           driver.Generate();
@@ -355,7 +360,7 @@
           next.endpoints.clear();
           driver.Apply(next);
           driver.AdvanceBy(3s);
-          driver.Generate();  // under the new one: there is no such model
+          driver.Generate();  // the new manifest does not have the model
           driver.End(decode, attempt, 1);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Ends());
           CPPUNIT_ASSERT(driver.Errors().at(0).code ==
--- a/src/entry/tests/standstill_test.cc
+++ b/src/entry/tests/standstill_test.cc
@@ -1,7 +1,7 @@
-// An entry that did not run for a while (its host was suspended, its processor
-// was busy, one step of its event loop took long) must not take its own
-// standstill for the silence of others. In each of these tests its timers come
-// first, and what arrived meanwhile is read after them.
+// An entry that did not run for some time (its host was suspended, its
+// processor was busy, or a step of its event loop took long) must not count its
+// own stall as a timeout of a peer. In each of these tests its timers run
+// first, and the messages that arrived during the stall are read after them.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "entry/log_once.h"
@@ -14,32 +14,32 @@
 using testing::ForEach;
 using testing::It;
 
-struct Standstill {
+struct ProcessStall {
   const char* name;
   Duration length;
 };
 
-// All longer than an agent is given to answer a reservation, and shorter than
-// a session's lease.
-const std::vector<Standstill> kStandstills = {{"for 0.4 s", 400ms},
-                                              {"for 0.9 s", 900ms},
-                                              {"for 1.9 s", 1900ms}};
+// Each stall is longer than the time that an agent has to answer a reservation,
+// and shorter than the lease of a session.
+const std::vector<ProcessStall> kProcessStalls = {{"for 0.4 s", 400ms},
+                                                  {"for 0.9 s", 900ms},
+                                                  {"for 1.9 s", 1900ms}};
 
-std::string NameOfStandstill(const Standstill& row) {
+std::string NameOfStall(const ProcessStall& row) {
   return row.name;
 }
 
-// The process stands still, and its timers are the first to run again.
-void StandStill(EntryDriver& driver, Duration length) {
+// Stalls the process. Its timers run before any message is read.
+void StallAndFireTimers(EntryDriver& driver, Duration length) {
   driver.Stall(length);
   driver.core->OnTimer(driver.now);
 }
 
-// Longer than the core waits for what its sockets hold, shorter than any
-// silence by which it judges.
+// This is longer than the time for which the core waits for its sockets to be
+// read, and shorter than any timeout by which it judges a peer.
 constexpr Duration kSocketsRead = 50ms;
 
-// An entry whose claims go to a log that is played by hand.
+// An entry whose claims go to a log that the test simulates.
 struct LogDriver : ReadyDriver {
   static constexpr char kKey[] = "018f0000-0000-7abc-8def-0123456789ab";
   static constexpr once::WallMilliseconds kKeyTime{0x018f00000000};
@@ -65,7 +65,7 @@
     this->core->OnClaimsRead(read, this->now);
   }
 
-  // The claims that the core gives to the log.
+  // Returns the claims that the core appends to the log.
   std::string Appended() {
     for (const EntryAction& action : this->core->TakeActions()) {
       if (const auto* append = std::get_if<AppendClaims>(&action)) {
@@ -79,23 +79,23 @@
   RandomSource log_random{5};
 };
 
-const testing::Story kStoodStill(
-    "an entry that stood still",
-    {// Agents had answered their reservations, but after standstills of 0.3 to
-     // 1 s the entry cancelled them, counted a failure against each agent, and
-     // asked others. Its timers ran before the answers in its sockets were
-     // read, and only a timer that came a second late told it of a standstill.
-     ForEach<Standstill>(
-         "takes the reservation that was answered meanwhile, after standing "
-         "still",
-         kStandstills,
-         NameOfStandstill,
-         [](const Standstill& row) {
+const testing::Story kStalledEntry(
+    "an entry that was stalled",
+    {// Guards against an entry that, after a stall of 0.3 to 1 s, cancels
+     // reservations which their agents have answered, counts a failure against
+     // each agent, and queries others. Its timers run before the answers in its
+     // sockets are read, and a check for timers that are a second late misses
+     // such a stall.
+     ForEach<ProcessStall>(
+         "takes the reservation that was answered during a stall",
+         kProcessStalls,
+         NameOfStall,
+         [](const ProcessStall& row) {
            ReadyDriver driver;
            driver.Generate();
            const auto reserve = driver.Expect<protocol::Reserve>();
            const std::string decode = driver.last_endpoint;
-           StandStill(driver, row.length);
+           StallAndFireTimers(driver, row.length);
            driver.AdvanceBy(kSocketsRead);
            driver.Deliver(decode,
                           protocol::Reserved{.attempt = reserve.attempt});
@@ -105,17 +105,17 @@
                                 driver.Count<protocol::Reserve>());
            driver.Prefill();
          }),
-     ForEach<Standstill>(
-         "takes the prefill that was done meanwhile, after standing still",
-         kStandstills,
-         NameOfStandstill,
-         [](const Standstill& row) {
+     ForEach<ProcessStall>(
+         "takes the prefill that was done during a stall",
+         kProcessStalls,
+         NameOfStall,
+         [](const ProcessStall& row) {
            ReadyDriver driver({.stall_timeout = 200ms});
            driver.Generate();
            driver.Reserve();
            const auto start = driver.Expect<protocol::StartPrefill>();
            const std::string prefill = driver.last_endpoint;
-           StandStill(driver, row.length);
+           StallAndFireTimers(driver, row.length);
            driver.AdvanceBy(kSocketsRead);
            driver.Deliver(prefill, protocol::Prefilled{.attempt = start.attempt,
                                                        .lifetime = 800ms});
@@ -123,19 +123,18 @@
                                 driver.Count<protocol::Cancel>());
            driver.Decode();
          }),
-     ForEach<Standstill>(
-         "goes on with the stream whose chunks came meanwhile, after standing "
-         "still",
-         kStandstills,
-         NameOfStandstill,
-         [](const Standstill& row) {
+     ForEach<ProcessStall>(
+         "continues the stream whose chunks came during a stall",
+         kProcessStalls,
+         NameOfStall,
+         [](const ProcessStall& row) {
            ReadyDriver driver({.stall_timeout = 200ms});
            const RequestId request = driver.Generate();
            std::string decode;
            const AttemptId attempt = driver.Stream(&decode, "one ");
            driver.core->OnDelivered(request, 0, driver.now);
-           driver.Expect<protocol::Cancel>();  // the export may go
-           StandStill(driver, row.length);
+           driver.Expect<protocol::Cancel>();  // of the export
+           StallAndFireTimers(driver, row.length);
            driver.AdvanceBy(kSocketsRead);
            driver.Chunk(decode, attempt, 1, "two");
            driver.core->OnDelivered(request, 1, driver.now);
@@ -145,9 +144,10 @@
            CPPUNIT_ASSERT_EQUAL(std::string("one two"), driver.Text());
            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Ends());
          }),
-     // The caller was told that the log was out, though the log had taken its
-     // claim and the record that shows it lay in the entry's socket.
-     It("settles the claim that the log took meanwhile",
+     // Guards against an answer that the log is unavailable although the log
+     // has accepted the claim and the record that shows it is in the socket of
+     // the entry.
+     It("settles the claim that the log accepted during a stall",
         [] {
           LogDriver driver;
           driver.core->TakeActions();
@@ -155,30 +155,31 @@
           driver.now += 20ms;
           driver.core->OnTimer(driver.now);
           const std::string claim = driver.Appended();
-          StandStill(driver, 2500ms);
+          StallAndFireTimers(driver, 2500ms);
           driver.Read({claim});
           CPPUNIT_ASSERT(driver.Errors().empty());
           driver.Expect<protocol::StartCall>();
         }),
-     // All connections that were being opened were dropped and begun again,
-     // though the kernel had opened them and the agents had answered.
-     It("keeps the connection that was opened meanwhile",
+     // Guards against connection attempts that are all dropped and begun again
+     // although the kernel has opened the connections and the agents have
+     // answered.
+     It("keeps the connection that was opened during a stall",
         [] {
           EntryDriver driver;
           driver.Apply(EntryDriver::DefaultManifest());
           driver.core->TakeActions();
-          StandStill(driver, 3500ms);
+          StallAndFireTimers(driver, 3500ms);
           driver.core->OnEndpointConnected(EndpointId("d1"), driver.now);
           driver.Expect<protocol::Hello>();
         }),
-     It("takes the welcome that came meanwhile, while the lease in it lasts",
+     It("accepts the welcome that came during a stall, while its lease lasts",
         [] {
           EntryDriver driver;
           driver.Apply(EntryDriver::DefaultManifest());
           for (const char* const endpoint : {"p1", "d1"}) {
             driver.core->OnEndpointConnected(EndpointId(endpoint), driver.now);
           }
-          StandStill(driver, 3500ms);
+          StallAndFireTimers(driver, 3500ms);
           for (const char* const endpoint : {"p1", "d1"}) {
             driver.Deliver(endpoint,
                            protocol::Welcome{.endpoint = EndpointId(endpoint),
@@ -191,17 +192,17 @@
           driver.Generate();
           driver.Reserve();
         }),
-     // The caller of a call that may run only once was told that nobody knows
-     // its outcome, though its home was there and knew it: the 5 s for which a
-     // home that cannot be reached is asked had passed while nothing ran.
-     It("still asks a call's home what became of it",
+     // Guards against an unknown outcome for a call that may run only once
+     // although its home is reachable and knows the outcome: the 5 s for which
+     // an unreachable home is queried pass during the stall.
+     It("still queries the home of a call for its outcome after a stall",
         [] {
           ReadyDriver driver;
           driver.Call("POST", "key");
           const auto start = driver.Expect<protocol::StartCall>();
           const std::string home = driver.last_endpoint;
           driver.Close(home);
-          StandStill(driver, 5500ms);
+          StallAndFireTimers(driver, 5500ms);
           driver.AdvanceBy(500ms, false);
           driver.Open(home);
           driver.AdvanceBy(300ms);
@@ -209,29 +210,30 @@
           CPPUNIT_ASSERT(driver.Expect<protocol::LookUp>().once.key_low ==
                          start.once.key_low);
         }),
-     It("still gives up a call's home that cannot be reached after it",
+     It("still gives up the home of a call that stays unreachable after a "
+        "stall",
         [] {
           ReadyDriver driver;
           driver.Call("POST", "key");
           driver.Expect<protocol::StartCall>();
           driver.Close(driver.last_endpoint);
-          StandStill(driver, 5500ms);
+          StallAndFireTimers(driver, 5500ms);
           driver.AdvanceBy(2s, false);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Errors().size());
         }),
-     // A first standstill must not use up the patience for the next.
-     It("takes the reservation that was answered meanwhile, the second time "
-        "too",
+     // A first stall must not use up the extra time that is allowed after the
+     // next stall.
+     It("takes the reservation that was answered during a second stall",
         [] {
           ReadyDriver driver;
           driver.Generate();
-          StandStill(driver, 400ms);
+          StallAndFireTimers(driver, 400ms);
           driver.Reserve();
           driver.AdvanceBy(250ms);
           driver.Generate();
           const auto reserve = driver.Expect<protocol::Reserve>();
           const std::string decode = driver.last_endpoint;
-          StandStill(driver, 400ms);
+          StallAndFireTimers(driver, 400ms);
           driver.AdvanceBy(kSocketsRead);
           driver.Deliver(decode,
                          protocol::Reserved{.attempt = reserve.attempt});
@@ -240,36 +242,36 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{0},
                                driver.Count<protocol::Reserve>());
         }),
-     It("still gives up an agent that stays silent after it",
+     It("still gives up an agent that stays unresponsive after a stall",
         [] {
           ReadyDriver driver;
           driver.Generate();
           driver.Expect<protocol::Reserve>();
-          StandStill(driver, 900ms);
+          StallAndFireTimers(driver, 900ms);
           driver.AdvanceBy(300ms);
           driver.Expect<protocol::Cancel>();
           driver.Expect<protocol::Reserve>();
         }),
-     // Without this an entry on a busy processor, whose timers are always
-     // late, would wait for a dead agent for ever.
-     ForEach<Standstill>(
-         "still gives up a silent agent within 1.2 s when it stands still "
-         "again and again",
+     // Otherwise an entry on a busy processor, whose timers are always late,
+     // would wait for a dead agent for ever.
+     ForEach<ProcessStall>(
+         "still gives up an unresponsive agent within 1.2 s despite repeated "
+         "stalls",
          {{"for 0.15 s", 150ms}, {"for 0.4 s", 400ms}, {"for 0.6 s", 600ms}},
-         NameOfStandstill,
-         [](const Standstill& row) {
+         NameOfStall,
+         [](const ProcessStall& row) {
            ReadyDriver driver;
            driver.Generate();
            driver.Expect<protocol::Reserve>();
-           const Instant asked = driver.now;
-           while (driver.now + row.length <= asked + 1200ms) {
-             StandStill(driver, row.length);
+           const Instant requested_at = driver.now;
+           while (driver.now + row.length <= requested_at + 1200ms) {
+             StallAndFireTimers(driver, row.length);
            }
            driver.Expect<protocol::Cancel>();
            driver.Expect<protocol::Reserve>();
          }),
-     It("ends a request at its deadline all the same, once it has read its "
-        "sockets",
+     It("ends a request whose deadline passed during a stall, once it has read "
+        "its sockets",
         [] {
           ReadyDriver driver;
           driver.core->OnCall({.request = {.high = 9},
@@ -278,7 +280,7 @@
                                .deadline = 500ms},
                               driver.now);
           driver.Expect<protocol::StartCall>();
-          StandStill(driver, 700ms);
+          StallAndFireTimers(driver, 700ms);
           CPPUNIT_ASSERT(driver.Errors().empty());
           driver.AdvanceBy(kSocketsRead);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, driver.Errors().size());
