--- a/src/entry/entry_core.h
+++ b/src/entry/entry_core.h
@@ -19,26 +19,26 @@
 
 namespace acacialug::entry {
 
-// Every decision of an entry's shard, without sockets, threads or a clock:
-// typed input and `now` in, typed actions out. The process, the scenarios and
-// the random explorer all run this same class.
+// Makes every decision of an entry's shard, without sockets, threads or a
+// clock: it takes typed input and `now`, and returns typed actions. The
+// process, the scenarios and the random explorer all run this class.
 //
 // Each request gets exactly one final answer (AnswerEnd, AnswerCall or
-// AnswerError), unless its caller went away first. Not thread safe, one a
-// shard; `now` never goes backwards.
+// AnswerError), unless its caller disconnects first. The class is not thread
+// safe; each shard has its own instance. `now` never goes backwards.
 class EntryCore {
  public:
   EntryCore(EntryOptions options, RandomSource& random);
   ~EntryCore();
 
-  // A newer manifest is in force. Requests under way keep the one they began
-  // under. Older offsets are ignored.
+  // A newer manifest becomes active. Requests in progress keep the manifest
+  // that was active when they arrived. Older offsets are ignored.
   void OnManifest(std::shared_ptr<const manifest::Manifest> newest,
                   Instant now);
 
   void OnGeneration(const GenerationArrived& arrived, Instant now);
   void OnCall(const CallArrived& arrived, Instant now);
-  // The caller is gone: everything held for the request is given back.
+  // The caller disconnected: everything held for the request is released.
   void OnCallerGone(RequestId request, Instant now);
   // The caller has taken the answer's pieces up to and including `index`.
   void OnDelivered(RequestId request, std::uint64_t index, Instant now);
@@ -49,37 +49,40 @@
                  const protocol::AgentToEntry& message,
                  Instant now);
 
-  // A heartbeat of the process renewed a session of this shard. One that has
-  // lapsed by now, or given way to another, is not brought back.
+  // A heartbeat of the process renewed a session of this shard. A session that
+  // has lapsed or was replaced in the meantime is not restored.
   void OnHeartbeat(const EndpointId& endpoint,
                    const heartbeat::SessionRenewal& renewal,
                    Instant now);
-  // How often sessions are to be renewed, by the byte budget of the process:
-  // told to agents, which set the leases by it.
+  // Sets the interval of session renewals, which follows from the byte budget
+  // of the process. It is sent to the agents, which derive the leases from it.
   void SetRenewInterval(Duration interval);
 
   void OnClaimsAppended(const ClaimsAppended& appended, Instant now);
   void OnClaimsRead(const ClaimsRead& read, Instant now);
 
-  // A right to run one non-idempotent call, bound to an endpoint that is
-  // usable now; `wall_clock`, the time since 1970, tells its age. Errors:
-  // kNotReady, kUnknownService, kNoEndpoint.
+  // Returns a ticket that permits one run of a non-idempotent call and is bound
+  // to an endpoint that is usable now. The ticket's age counts from
+  // `wall_clock`, the time since 1970. Errors: kNotReady, kUnknownService,
+  // kNoEndpoint.
   Result<std::string> IssueTicket(const ServiceName& service,
                                   std::chrono::milliseconds wall_clock,
                                   Instant now);
 
-  // The hosts that the platform says are leaving (replaces what was told
-  // before): their endpoints get no new work; what runs there goes on.
+  // Replaces the set of hosts that the platform lists as leaving. Their
+  // endpoints get no new work; running work continues.
   void OnLeavingHosts(const std::set<HostId>& hosts, Instant now);
 
-  // How many entries are live, by the host list or whatever the process knows:
-  // each grants its part of the callers' rate limits. 1 until told.
+  // Sets the number of live entries, from the host list or another source of
+  // the process. Each entry grants its part of the callers' rate limits. The
+  // number is 1 until the first call.
   void OnLiveEntries(std::uint32_t entries, Instant now);
 
   // Call at or after next_timer().
   void OnTimer(Instant now);
 
-  // Leaves: new requests are refused as kDraining, those alive go on.
+  // From now on new requests are refused as kDraining; requests in progress
+  // continue.
   void BeginDrain(Instant now);
   bool drained() const;
 
--- a/src/entry/i_once_coordinator.h
+++ b/src/entry/i_once_coordinator.h
@@ -13,13 +13,14 @@
 
 namespace acacialug::entry {
 
-// A call that may not be repeated and wants to be dispatched. `home` is the
+// A call that may not be repeated and is ready for dispatch. `home` is the
 // endpoint that placement proposes, `home_agent` its agent's incarnation.
 struct OnceSubmission {
   RequestId request;
   CallerName caller;
   ServiceName service;
-  std::string idempotency_key;  // one of the two is set
+  // Exactly one of these two is set.
+  std::string idempotency_key;
   std::string ticket;
   std::uint64_t fingerprint = 0;  // digest of method, target and body
   EndpointId home;
@@ -29,23 +30,24 @@
 
 // ---- verdicts on a submission ----
 
-// Dispatch it to that endpoint and no other, under `once`. Also after a
-// refusal by the home, for the same or another one.
+// The call is dispatched to `home` and no other endpoint, under `once`. The
+// verdict also follows a refusal by the home, for the same home or another.
 struct OnceRun {
   RequestId request;
   protocol::Once once;
   EndpointId home;
 };
 
-// Another submission under this key came first: ask its home what became of
-// it, and answer that. `once.home` is the incarnation that alone can tell.
+// Another submission under this key came first: its home is queried for the
+// result, which becomes the answer. `once.home` is the only incarnation that
+// knows the result.
 struct OnceLookUp {
   RequestId request;
   protocol::Once once;
   EndpointId home;
 };
 
-// Answer with this; it is not dispatched by this submission.
+// The request is answered with this code; this submission dispatches nothing.
 struct OnceRefuse {
   RequestId request;
   ResultCode code = ResultCode::kLogUnavailable;
@@ -55,24 +57,26 @@
 
 using OnceVerdict = std::variant<OnceRun, OnceLookUp, OnceRefuse>;
 
-// Decides at most once for calls that may not be repeated: tickets, and claims
-// on the platform's log. An aggregate like EntryCore, which owns it and passes
-// on its verdicts (TakeVerdicts) and its log actions (TakeActions, AppendClaims
-// and ReadClaims only) after each event. Not thread safe; `now` never goes
-// backwards.
+// Ensures that calls that may not be repeated run at most once, by tickets and
+// by claims on the platform's log. EntryCore owns the coordinator and, after
+// each event, forwards its verdicts (TakeVerdicts) and its log actions
+// (TakeActions; AppendClaims and ReadClaims only). Not thread safe; `now` never
+// goes backwards.
 class IOnceCoordinator {
  public:
   virtual ~IOnceCoordinator() = default;
 
-  // A submission; exactly one verdict follows, at once or later, unless it is
-  // withdrawn before.
+  // Exactly one verdict follows, immediately or later, unless the submission is
+  // withdrawn first.
   virtual void Submit(const OnceSubmission& submission, Instant now) = 0;
 
-  // The home refused, or was gone before the dispatch: provably nothing ran
-  // there. The submission proposes another; one more verdict follows.
+  // The home refused the call or was lost before the dispatch, so provably
+  // nothing ran there. The submission proposes another home; one more verdict
+  // follows.
   virtual void OnRefused(const OnceSubmission& submission, Instant now) = 0;
 
-  // The request ended here (answered, refused, or its caller is gone).
+  // The request ended at this entry: it was answered or refused, or its caller
+  // disconnected.
   virtual void Withdraw(const RequestId& request, Instant now) = 0;
 
   virtual void OnClaimsAppended(const ClaimsAppended& appended,
--- a/src/entry/internal/answer_stream.cc
+++ b/src/entry/internal/answer_stream.cc
@@ -6,8 +6,8 @@
 namespace acacialug::entry {
 namespace {
 
-// Acknowledged each time this part of the window was taken.
-constexpr std::uint32_t kAcknowledgedPart = 4;
+// Number of acknowledgements sent while the caller takes one window.
+constexpr std::uint32_t kAcknowledgementsPerWindow = 4;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
       this->first_piece_at = now;
     }
     if (this->taken == piece.index) {
-      this->reader_progress_at = now;  // it had taken all before this one
+      this->reader_progress_at = now;  // it had taken all earlier pieces
     }
     this->engine_progress_at = now;
     ++this->attempt_pieces;
@@ -58,12 +58,12 @@
   }
   const std::uint64_t chunks = sequence->value + 1;
   const std::uint64_t step =
-      std::max(this->options.window_chunks / kAcknowledgedPart, 1U);
+      std::max(this->options.window_chunks / kAcknowledgementsPerWindow, 1U);
   if (chunks < this->acknowledged + step) {
     return std::nullopt;
   }
   if (this->WindowFull()) {
-    this->engine_progress_at = now;  // it may go on from here
+    this->engine_progress_at = now;  // the engine may continue now
   }
   this->acknowledged = chunks;
   return sequence;
--- a/src/entry/internal/answer_stream.h
+++ b/src/entry/internal/answer_stream.h
@@ -11,33 +11,34 @@
 
 namespace acacialug::entry {
 
-// The answer of one generation on its way to the caller, over all attempts:
-// what was passed on, what the caller has taken, and who is stalling. Not
-// thread safe.
+// The answer of one generation across all attempts: which pieces were
+// delivered, which of them the caller has taken, and whether the caller or the
+// engine is stalling. Not thread safe.
 class AnswerStream {
  public:
   AnswerStream(const RequestId& request_id,
                const EntryOptions& entry_options,
                std::vector<EntryAction>& action_list);
 
-  // A decode was started that goes on after the text so far.
+  // A decode started that continues after the text so far.
   void BeginAttempt(Instant now);
 
-  // Passes on what the chunk makes deliverable.
+  // Delivers the pieces that the chunk completes.
   void Take(const protocol::Chunk& chunk, Instant now);
 
   void NoteEnd(SequenceNumber chunks) { this->assembler.NoteEnd(chunks); }
   bool Complete() const { return this->assembler.Complete(); }
 
-  // The caller took the pieces up to this one. The result is to be
-  // acknowledged to the agent: once for a part of the window, since an
-  // acknowledgement for each chunk would double the messages.
+  // The caller took the pieces up to and including this one. Returns the
+  // sequence number to acknowledge to the agent, if any: one for each part of
+  // the window, since one for each chunk would double the number of messages.
   std::optional<SequenceNumber> OnDelivered(std::uint64_t index, Instant now);
 
-  // When the caller counts as too slow; kNever while it has taken all.
+  // Returns when the caller counts as too slow; kNever while it has taken all
+  // pieces.
   Instant ReaderStallsAt() const;
-  // When the engine counts as stalled; kNever while the window is full, for
-  // then it waits for the caller.
+  // Returns when the engine counts as stalled; kNever while the window is full,
+  // since the engine then waits for the caller.
   Instant EngineStallsAt() const;
 
   bool Begun() const { return this->assembler.Pieces() > 0; }
@@ -47,8 +48,8 @@
   std::uint32_t EarlierTokens() const {
     return this->assembler.EarlierTokens();
   }
-  // The current attempt waited for the caller: its pace says nothing of the
-  // engine's.
+  // True if the current attempt waited for the caller, so that its rate is no
+  // measure of the engine's rate.
   bool Paused() const { return this->paused; }
   // Of the current attempt. Precondition: AttemptBegun().
   Instant AttemptFirstPieceAt() const { return this->first_piece_at; }
--- a/src/entry/internal/arrival_rules.cc
+++ b/src/entry/internal/arrival_rules.cc
@@ -24,8 +24,8 @@
   return found == service.classes.end() ? nullptr : &*found;
 }
 
-// The class that the request names; else the caller's, if the service has it;
-// else the service's first.
+// Returns the class that the request names, else the caller's class if the
+// service has it, else the service's first class.
 const manifest::LatencyClass* ClassOf(const manifest::Service& service,
                                       const std::string& requested,
                                       const manifest::CallerLimits* caller) {
--- a/src/entry/internal/arrival_rules.h
+++ b/src/entry/internal/arrival_rules.h
@@ -11,8 +11,8 @@
 
 namespace acacialug::entry {
 
-// What the manifest says of an arriving request, before any queue. Stateless;
-// thread safe.
+// Applies the manifest to an arriving request before it is queued. Stateless
+// and thread safe.
 class ArrivalRules {
  public:
   // Errors: kUnknownModel, kUnknownCaller, kInvalidHeader (no such latency
@@ -30,8 +30,8 @@
       Duration default_deadline,
       Instant now);
 
-  // The first rule whose method and path prefix match decides; without one,
-  // the methods that RFC 9110 calls idempotent are.
+  // The first rule whose method and path prefix match decides. Without a match,
+  // the methods that RFC 9110 defines as idempotent are idempotent.
   static bool Idempotent(const manifest::Service& service,
                          const protocol::ServiceRequest& call);
 };
--- a/src/entry/internal/call_events.cc
+++ b/src/entry/internal/call_events.cc
@@ -1,4 +1,5 @@
-// The part of CallMachine that takes what agents and the coordinator tell.
+// The part of CallMachine that handles messages of agents and verdicts of the
+// coordinator.
 #include <algorithm>
 #include <type_traits>
 #include <variant>
@@ -8,13 +9,13 @@
 namespace acacialug::entry {
 namespace {
 
-constexpr std::size_t kEndpointsATurn = 4;
-constexpr Duration kPause = 5ms;
-// Between two questions of what became of a call.
+constexpr std::size_t kEndpointsPerDispatch = 4;
+constexpr Duration kRetryPause = 5ms;
+// Between two queries for the result of a call.
 constexpr Duration kLookUpInterval = 200ms;
-// How long an agent that cannot be reached is asked, before the outcome is
-// called unknown.
-constexpr Duration kLookUpPatience = 5s;
+// How long an unreachable agent is queried before the outcome counts as
+// unknown.
+constexpr Duration kLookUpTimeout = 5s;
 
 bool IsOnceAnswer(ResultCode code) {
   const int number = static_cast<int>(code);
@@ -23,9 +24,10 @@
 
 }  // namespace
 
-// A ticket names its home by itself: one of another service would carry the
-// call to an endpoint that was never meant to see it, and of one that no
-// manifest has any more nobody can tell whether an earlier use ran there.
+// The ticket itself names its home. If the home belongs to another service, the
+// call would reach an endpoint that must not receive it. If no manifest lists
+// the home any more, it is unknown whether an earlier use of the ticket ran
+// there.
 bool CallMachine::AcceptsHome(const EndpointId& home, Instant now) {
   const ServiceName* const served = this->context.fleet.ServiceOf(home);
   if (served == nullptr) {
@@ -53,7 +55,7 @@
     this->once = look_up->once;
     this->endpoint = look_up->home;
     this->maybe_run = true;  // by the other submission
-    this->look_up_until = std::min(now + kLookUpPatience, this->terms.deadline);
+    this->look_up_until = std::min(now + kLookUpTimeout, this->terms.deadline);
     this->LookUp(now);
   } else if (const auto* refuse = std::get_if<OnceRefuse>(&verdict)) {
     this->Fail(refuse->code, refuse->outcome, refuse->retry_after, now);
@@ -114,14 +116,15 @@
   this->Leave(now, false);
   this->maybe_run = this->lost_run;
   if (refused.code == ResultCode::kTicketInvalid) {
-    // The ticket's home is gone, or is another start of its agent: an earlier
-    // use of the ticket may have run there, and nobody can ever tell.
+    // The ticket's home is gone or has a new incarnation of its agent. An
+    // earlier use of the ticket may have run there, which can no longer be
+    // found out.
     this->Fail(refused.code, protocol::Outcome::kUnknown, Duration::zero(),
                now);
     return;
   }
   if (looked_up || IsOnceAnswer(refused.code)) {
-    // The home sealed the key: it never ran and never will there.
+    // The home sealed the key: the call never ran there and never will.
     this->Refuse(refused.code, this->service.RetryAfter(), now);
     return;
   }
@@ -151,7 +154,7 @@
     this->OnNotRun(failed.code, now);
   } else if (failed.code == ResultCode::kStillRunning &&
              this->stage == CallStage::kLookingUp) {
-    this->look_up_until = this->terms.deadline;  // it is known there
+    this->look_up_until = this->terms.deadline;  // the call is known there
     this->LookUpLater(now);
   } else if (this->idempotent) {
     this->OnRunLost(failed.code, now);
@@ -179,8 +182,8 @@
 
 void CallMachine::OnRunLost(ResultCode code, Instant now) {
   if (!this->idempotent) {
-    // It may run now, or have run. Only its home can tell.
-    this->look_up_until = std::min(now + kLookUpPatience, this->terms.deadline);
+    // The call may be running or may have run. Only its home knows.
+    this->look_up_until = std::min(now + kLookUpTimeout, this->terms.deadline);
     this->LookUpLater(now);
     return;
   }
@@ -209,7 +212,8 @@
     return;
   }
   if (this->context.fleet.AgentOf(this->endpoint) != this->once.home) {
-    // A replaced agent lost its ledger: nobody can ever tell.
+    // The agent was replaced and its ledger is lost, so the outcome cannot be
+    // found out.
     this->Fail(ResultCode::kOutcomeUnknown, protocol::Outcome::kUnknown,
                Duration::zero(), now);
     return;
@@ -230,9 +234,9 @@
   if (this->repeats > 0) {
     this->resuming = true;
   }
-  if (this->tried.size() >= kEndpointsATurn) {
+  if (this->tried.size() >= kEndpointsPerDispatch) {
     this->tried.clear();
-    this->service.BlockUntil(now + kPause);
+    this->service.BlockUntil(now + kRetryPause);
   }
   if (this->counted) {
     this->counted = false;
--- a/src/entry/internal/call_machine.cc
+++ b/src/entry/internal/call_machine.cc
@@ -9,16 +9,17 @@
 namespace acacialug::entry {
 namespace {
 
-// A latency counts for at most this part of the target: were it
-// more, a slow time would refuse everything, and no call would ever show
-// that it is over.
-constexpr int kCountedPart = 2;
-// How long a ticket's home is waited for, and how often it is looked at.
-constexpr Duration kHomePatience = 5s;
-constexpr Duration kHomeInterval = 100ms;
-// After a standstill of this process: to open a lapsed session again, whose
-// backoff is at most 1 s, and to ask.
-constexpr Duration kReopeningTime = 1500ms;
+// A latency counts for at most the target divided by this number. Otherwise a
+// slow period would cause all calls to be refused, and no call would show that
+// the period has ended.
+constexpr int kLatencyDivisor = 2;
+// How long a call waits for its ticket's home, and how often the home's session
+// is checked.
+constexpr Duration kHomeWaitTimeout = 5s;
+constexpr Duration kHomeCheckInterval = 100ms;
+// Time needed after a process stall to reopen a lapsed session, whose backoff
+// is at most 1 s, and to send the query.
+constexpr Duration kReconnectTime = 1500ms;
 
 }  // namespace
 
@@ -39,7 +40,7 @@
 }
 
 // The home of a call that may not be repeated is picked by its key, so that a
-// second submission, on whichever entry, meets the first at one ledger.
+// second submission, on any entry, reaches the same ledger as the first.
 placement::EndpointView* CallMachine::PickHome() const {
   const std::uint64_t key = placement::HashText(
       this->work.idempotency_key, placement::HashText(this->terms.caller.text));
@@ -65,14 +66,14 @@
                              ? std::min(view.WorkAhead(now), target)
                              : Duration::zero();
   const Duration own =
-      std::min(FromSeconds(view.Latency()), target / kCountedPart);
+      std::min(FromSeconds(view.Latency()), target / kLatencyDivisor);
   return now + ahead + own <= this->terms.first_token_by;
 }
 
 void CallMachine::Dispatch(Instant now) {
   if (!this->idempotent && this->HasTicket()) {
-    // Its home is part of its value. It may hold the answer of an earlier use
-    // even while no endpoint of the pool takes new work.
+    // The home is part of the ticket's value. It may hold the answer of an
+    // earlier use even while no endpoint of the pool accepts new work.
     this->Activate();
     this->Claim({}, now);
     return;
@@ -139,14 +140,15 @@
 void CallMachine::Start(const EndpointId& home,
                         const protocol::Once& bound,
                         Instant now) {
-  // After a pause of this process, what arrived meanwhile is read before the
-  // timers run: the work would take effect for a caller that has given up.
+  // After a process stall, messages that arrived in the meantime are read
+  // before the timers run. Without this check the work would take effect for a
+  // caller that has given up.
   if (now >= this->terms.deadline) {
     this->GiveUp(ResultCode::kDeadlineUnreachable, now);
     return;
   }
-  // The agent may have been replaced, or its session lost, while the claim
-  // was on its way: its ledger would not know the claim.
+  // The agent may have been replaced, or its session lost, while the claim was
+  // pending. Its ledger would then not know the claim.
   const bool current =
       this->idempotent || this->context.fleet.AgentOf(home) == bound.home;
   if (!current || !this->context.fleet.Open(home, now)) {
@@ -182,20 +184,21 @@
       now);
 }
 
-// Time in which this process stood still is none in which the home could be
-// asked.
+// During a process stall the home could not be queried, so that time does not
+// count.
 Instant CallMachine::HomeWaitDeadline() const {
   return std::max(this->look_up_until,
-                  this->context.no_timeout_before + kReopeningTime);
+                  this->context.no_timeout_before + kReconnectTime);
 }
 
-// A ticket's home that only lost its session is connected again; one whose
-// agent was replaced, or that does not come back, is gone with all it knew.
+// A ticket's home that only lost its session is connected again. If its agent
+// was replaced or it does not come back, the home and its ledger are lost.
 void CallMachine::AwaitHome(const EndpointId& home,
                             const protocol::Once& bound,
                             Instant now) {
   if (this->stage != CallStage::kAwaitingHome) {
-    this->look_up_until = std::min(now + kHomePatience, this->terms.deadline);
+    this->look_up_until =
+        std::min(now + kHomeWaitTimeout, this->terms.deadline);
   }
   const Incarnation agent = this->context.fleet.AgentOf(home);
   if ((agent != Incarnation() && agent != bound.home) ||
@@ -208,7 +211,7 @@
   this->maybe_run = true;  // by an earlier use
   this->endpoint = home;
   this->once = bound;
-  this->look_up_at = now + kHomeInterval;
+  this->look_up_at = now + kHomeCheckInterval;
   this->context.fleet.Attach(home, this->terms.request, now);
 }
 
--- a/src/entry/internal/call_machine.h
+++ b/src/entry/internal/call_machine.h
@@ -12,10 +12,10 @@
 
 enum class CallStage : std::uint8_t {
   kPlacing,
-  kClaiming,      // the coordinator has not decided yet
-  kAwaitingHome,  // a ticket's home has no session at the moment
+  kClaiming,      // the coordinator's verdict is pending
+  kAwaitingHome,  // the ticket's home has no session now
   kRunning,       // StartCall sent
-  kLookingUp,     // asks the home what became of it
+  kLookingUp,     // queries the home for the result
 };
 inline constexpr EnumNames<CallStage, 5> kCallStageNames = {{
     {CallStage::kPlacing, "placing"},
@@ -25,10 +25,10 @@
     {CallStage::kLookingUp, "looking_up"},
 }};
 
-// A call of a plain service. An idempotent one may be tried again, under the
-// retry budget. One that is not idempotent goes to one home under a key; when
-// its answer is lost, the home is asked what became of it, and where nobody
-// can tell, the caller is told that the outcome is unknown.
+// A call of a plain service. An idempotent call may be retried within the retry
+// budget. A call that is not idempotent goes to one home under a key. When its
+// answer is lost, the home is queried for the result; if the result cannot be
+// found out, the caller gets an unknown outcome.
 class CallMachine : public RequestMachine {
  public:
   CallMachine(RequestContext shared,
@@ -73,7 +73,7 @@
   void LookUp(Instant now);
   void LookUpLater(Instant now);
   void OnRunLost(ResultCode code, Instant now);
-  // Nothing ran. A call that may go elsewhere does so; else it ends here.
+  // Nothing ran. The call tries another endpoint if it may, else it ends.
   void OnNotRun(ResultCode code, Instant now);
   void TryAnother(Instant now);
   void Leave(Instant now, bool cancel);
@@ -86,10 +86,10 @@
   AttemptId attempt;
   AttemptNumber number;
   protocol::Once once;
-  std::optional<OnceSubmission> submission;  // the coordinator knows of it
+  std::optional<OnceSubmission> submission;  // held by the coordinator
   std::vector<std::uint64_t> tried;
-  bool lost_run = false;   // an earlier one of an idempotent call
-  bool maybe_run = false;  // that, or one under way
+  bool lost_run = false;   // an earlier run of an idempotent call
+  bool maybe_run = false;  // a lost run, or one in progress
   std::uint32_t repeats = 0;
   Instant started_at{};
   Instant look_up_at = kNever;
--- a/src/entry/internal/direct_once.cc
+++ b/src/entry/internal/direct_once.cc
@@ -7,7 +7,7 @@
 namespace acacialug::entry {
 namespace {
 
-constexpr Duration kRetryAdvice = 500ms;
+constexpr Duration kRetryAfter = 500ms;
 
 }  // namespace
 
@@ -32,13 +32,13 @@
                                       .home = submission.home});
 }
 
-// Without a log, entries only agree on a home by picking the same one. Were a
-// refused call moved to the next, a second submission would still find the
-// first home, and run there once more.
+// Without a log, entries agree on a home only by picking the same one. If a
+// refused call moved to the next home, a second submission could still reach
+// the first home and run there a second time.
 void DirectOnce::OnRefused(const OnceSubmission& submission, Instant) {
   this->verdicts.emplace_back(OnceRefuse{.request = submission.request,
                                          .code = ResultCode::kOverloaded,
-                                         .retry_after = kRetryAdvice});
+                                         .retry_after = kRetryAfter});
 }
 
 void DirectOnce::Withdraw(const RequestId&, Instant) {}
--- a/src/entry/internal/direct_once.h
+++ b/src/entry/internal/direct_once.h
@@ -7,11 +7,11 @@
 
 namespace acacialug::entry {
 
-// The coordinator without a log: a keyed call is bound to the incarnation of
-// the agent that its key picks, whose ledger then holds it to one run. Two
-// submissions on two entries meet at that home as long as both entries can
-// reach it; when they cannot, nothing here sees the second one. With a
-// platform log, a coordinator that claims keys takes its place.
+// The coordinator without a log. A keyed call is bound to the incarnation of
+// the agent that its key picks, whose ledger limits it to one run. Two
+// submissions on two entries reach the same home as long as both entries can
+// connect to it; otherwise the second submission is not detected. With a
+// platform log, a coordinator that claims keys is used instead.
 class DirectOnce : public IOnceCoordinator {
  public:
   void Submit(const OnceSubmission& submission, Instant now) override;
@@ -24,7 +24,8 @@
   std::vector<OnceVerdict> TakeVerdicts() override;
   std::vector<EntryAction> TakeActions() override { return {}; }
 
-  // The key's digest, as the agents' ledgers know it. Thread safe.
+  // Returns the key's digest in the form that the agents' ledgers use. Thread
+  // safe.
   static protocol::Once Bind(const OnceSubmission& submission);
 
  private:
--- a/src/entry/internal/endpoint_link.cc
+++ b/src/entry/internal/endpoint_link.cc
@@ -8,14 +8,15 @@
 namespace acacialug::entry {
 namespace {
 
-constexpr Duration kOpenTimeout = 3s;   // to connect, and again for the Welcome
-constexpr Duration kDefaultLease = 3s;  // for a Welcome that names none
-constexpr Duration kFirstBackoff = 100ms;
-// An agent that was replaced is found again within a second: its endpoint's
-// memory and link are missed at peak. Of a pool that is gone whole this costs
-// an entry one connection a second and endpoint of its working set.
-constexpr Duration kLongestBackoff = 1s;
-constexpr std::uint32_t kMostDoublings = 6;
+constexpr Duration kOpenTimeout = 3s;   // for the connection, then for Welcome
+constexpr Duration kDefaultLease = 3s;  // when Welcome names none
+constexpr Duration kMinBackoff = 100ms;
+// The entry reconnects to a replaced agent within a second, since the memory
+// and link of its endpoint are needed at peak load. If a whole pool is down, an
+// entry attempts one connection per second for each endpoint of its working
+// set.
+constexpr Duration kMaxBackoff = 1s;
+constexpr std::uint32_t kMaxDoublings = 6;
 
 }  // namespace
 
@@ -44,9 +45,10 @@
 
 void EndpointLink::Release(LogOffset manifest) {
   if (this->state == LinkState::kOpen) {
-    // An agent hears of newer manifests from entries only. One that is to
-    // leave would be dropped by all of them before any had told it: it would
-    // go on taking work from an entry that is late, and never end.
+    // An agent learns of newer manifests from entries only. All entries would
+    // drop the session of a leaving agent before sending it the offset of the
+    // manifest that removes it. The agent would then keep accepting work from
+    // an entry with an older manifest, and never finish.
     this->Send(protocol::Renew{.incarnation = this->options.incarnation,
                                .manifest = manifest,
                                .interval = this->options.renew_interval});
@@ -67,15 +69,15 @@
   this->state = LinkState::kOpening;
   this->retry_at = now + kOpenTimeout;
   this->renewals.assign(1, now);
-  const bool alone = this->options.process.empty();
+  const bool standalone = this->options.process.empty();
   this->Send(protocol::Hello{
       .entry = this->options.id,
       .incarnation = this->options.incarnation,
       .domain = this->options.domain,
       .manifest = manifest,
-      .process = alone ? this->options.id : this->options.process,
-      .process_incarnation =
-          alone ? this->options.incarnation : this->options.process_incarnation,
+      .process = standalone ? this->options.id : this->options.process,
+      .process_incarnation = standalone ? this->options.incarnation
+                                        : this->options.process_incarnation,
       .interval = this->options.renew_interval});
 }
 
@@ -105,8 +107,8 @@
   if (this->state != LinkState::kOpen || this->renewals.empty()) {
     return;
   }
-  // Answers carry no number. Counting each one for the oldest open renewal
-  // errs, if an answer was lost, towards a lease that ends too early.
+  // Answers carry no number, so each one is matched to the oldest open renewal.
+  // If an answer was lost, the lease ends too early rather than too late.
   const Instant sent_at = this->renewals.front();
   this->renewals.pop_front();
   this->Extend(sent_at, renewed.lease);
@@ -115,8 +117,8 @@
 
 bool EndpointLink::OnHeartbeat(const heartbeat::SessionRenewal& renewal,
                                Instant now) {
-  // The session may have lapsed, or given way to another, while the answer
-  // was under way: it must bring neither back.
+  // The session may have lapsed or been replaced while the answer was in
+  // transit. The answer must restore it in neither case.
   if (!this->Usable(now) ||
       renewal.session != heartbeat::SessionName{.agent = this->agent,
                                                 .number = this->session}) {
@@ -124,7 +126,7 @@
   }
   this->Extend(renewal.sent_at, renewal.lease);
   this->last_round_trip = renewal.round_trip;
-  // Half of a lease without a heartbeat, and frames take over.
+  // After half a lease without a heartbeat, this link renews by frames.
   this->renew_at = std::max(this->renew_at, renewal.sent_at + this->lease / 2);
   return true;
 }
@@ -143,11 +145,11 @@
   this->agent = {};
   this->renewals.clear();
   const Duration step =
-      std::min(kFirstBackoff * (1U << std::min(this->failures, kMostDoublings)),
-               kLongestBackoff);
+      std::min(kMinBackoff * (1U << std::min(this->failures, kMaxDoublings)),
+               kMaxBackoff);
   ++this->failures;
-  // Jitter: without it all entries that lost one agent meet it again at the
-  // same moment.
+  // Without jitter, all entries that lost the same agent would reconnect to it
+  // at the same moment.
   this->retry_at =
       now + step / 2 + FromSeconds(Seconds(step) / 2 * this->random.Unit());
 }
@@ -155,8 +157,8 @@
 bool EndpointLink::OnTimer(LogOffset manifest, Instant now) {
   if (this->state == LinkState::kOpen) {
     if (now >= this->lease_until) {
-      // Also the way a paused process finds out: it slept longer than the
-      // lease, and the agent has given away what it held.
+      // A stalled process also detects the loss here: the stall exceeded the
+      // lease, and the agent has released what the session held.
       this->Drop(now);
       return true;
     }
--- a/src/entry/internal/endpoint_link.h
+++ b/src/entry/internal/endpoint_link.h
@@ -13,11 +13,11 @@
 namespace acacialug::entry {
 
 enum class LinkState : std::uint8_t {
-  kIdle,        // not connected, nobody wants it
-  kConnecting,  // asked the process for a connection
+  kIdle,        // not connected, and not needed
+  kConnecting,  // ConnectEndpoint sent to the process
   kOpening,     // Hello sent
   kOpen,        // Welcome received, lease running
-  kBackingOff,  // waits before it connects again
+  kBackingOff,  // waiting to reconnect
 };
 inline constexpr EnumNames<LinkState, 5> kLinkStateNames = {{
     {LinkState::kIdle, "idle"},
@@ -27,11 +27,11 @@
     {LinkState::kBackingOff, "backing_off"},
 }};
 
-// The session with one endpoint's agent: connects, opens, renews the lease,
-// and gives the session up when the lease lapsed by this entry's own clock.
-// The lease counts from the moment a renewal was sent, so that it never ends
-// later here than at the agent. Heartbeats of the process renew it; without
-// them this link does so itself, by frames. Not thread safe.
+// The session with one endpoint's agent: connects, opens the session, renews
+// its lease, and drops the session when the lease has lapsed by this entry's
+// clock. The lease counts from the moment at which the renewal was sent, so
+// that it never ends later here than at the agent. Heartbeats of the process
+// renew the lease; without them this link renews it by frames. Not thread safe.
 class EndpointLink {
  public:
   EndpointLink(EndpointId endpoint,
@@ -41,26 +41,28 @@
 
   // Connects when idle.
   void Connect(Instant now);
-  // Nobody needs the session any more: drops it.
+  // The session is no longer needed: drops it.
   void Release(LogOffset manifest);
 
-  // `manifest`: the offset in force, told to the agent.
+  // `manifest` is the active offset, which is sent to the agent.
   void OnConnected(LogOffset manifest, Instant now);
   void OnWelcome(const protocol::Welcome& welcome, Instant now);
   void OnRenewed(const protocol::Renewed& renewed, Instant now);
-  // A heartbeat renewed a session. False: not this one, or not in time.
+  // A heartbeat renewed a session. Returns false if it was another session, or
+  // if this one is not usable any more.
   bool OnHeartbeat(const heartbeat::SessionRenewal& renewal, Instant now);
-  // The connection is gone, or its session was given up.
+  // The connection was closed, or its session was dropped.
   void OnClosed(Instant now);
 
-  // Call at or after NextTimer(). True when the session was open and lapsed:
-  // what it held is lost.
+  // Call at or after NextTimer(). Returns true when the session was open and
+  // has lapsed: everything that it held is lost.
   bool OnTimer(LogOffset manifest, Instant now);
   Instant NextTimer() const;
-  // A connection that is being opened is not given up before.
+  // A connection that is being opened does not time out before this instant.
   void DeferTimeouts(Instant no_timeout_before);
 
-  // True when work may be sent: the session is open and its lease not lapsed.
+  // True when work may be sent: the session is open and its lease has not
+  // lapsed.
   bool Usable(Instant now) const {
     return this->state == LinkState::kOpen && now < this->lease_until;
   }
@@ -86,7 +88,7 @@
   Duration lease{};
   Instant lease_until{};
   Instant renew_at{};
-  Instant retry_at{};  // kBackingOff: connect again; else: give up waiting
+  Instant retry_at{};  // kBackingOff: reconnect; else: the opening times out
   std::deque<Instant> renewals;  // sent and not yet answered
   std::uint32_t failures = 0;    // in a row
   Duration last_round_trip{};
--- a/src/entry/internal/fleet.cc
+++ b/src/entry/internal/fleet.cc
@@ -26,9 +26,9 @@
       message);
 }
 
-// Messages after which a place is likely free: a refusal is none of them, or
-// the refused request would be tried again at once, without end.
-bool TellsOfRoom(const protocol::AgentToEntry& message) {
+// True for messages after which a slot is likely free. A refusal is not one of
+// them, since the refused request would be retried immediately without end.
+bool FreesCapacity(const protocol::AgentToEntry& message) {
   return std::holds_alternative<protocol::Welcome>(message) ||
          std::holds_alternative<protocol::Renewed>(message) ||
          std::holds_alternative<protocol::Ended>(message) ||
@@ -231,7 +231,7 @@
   if (const protocol::EndpointLoad* const load = LoadOf(message)) {
     this->NoteLoad(*member, *load, now);
   }
-  if (TellsOfRoom(message)) {
+  if (FreesCapacity(message)) {
     this->capacity_hook(member->record.service);
   }
   this->Rearm(*member);
@@ -248,9 +248,9 @@
     return;
   }
   member->view.NoteRoundTrip(member->link.LastRoundTrip());
-  // Answers are overtaken by frames. One to a heartbeat from before the agent
-  // said that it leaves must not take that back, or work would go there for as
-  // long as an interval.
+  // Frames can overtake heartbeat answers. The answer to a heartbeat sent
+  // before the agent reported that it leaves must not clear that state, or the
+  // agent would get new work for up to one heartbeat interval.
   const bool stays = !renewal.leaving && renewal.sent_at > member->leaving_at;
   if (renewal.load) {
     member->view.Report(*renewal.load, now);
--- a/src/entry/internal/fleet.h
+++ b/src/entry/internal/fleet.h
@@ -25,12 +25,12 @@
   EndpointId endpoint;
 };
 
-// All endpoints that this entry knows: sessions, views, and which of a pool
-// may get new work now. Not thread safe; `now` never goes backwards.
+// All endpoints that this entry knows: their sessions, their views, and which
+// endpoints of a pool may get new work now. Not thread safe; `now` never goes
+// backwards.
 class Fleet {
  public:
-  // `on_capacity_freed`: a pool of the service may have room that it had not
-  // before.
+  // Called when a pool of the service may have new free capacity.
   using CapacityHook = std::function<void(const ServiceName&)>;
 
   Fleet(const EntryOptions& entry_options,
@@ -45,8 +45,8 @@
   void SetLeavingHosts(const std::set<HostId>& hosts);
   void OnConnected(const EndpointId& endpoint, Instant now);
   void OnClosed(const EndpointId& endpoint, Instant now);
-  // Takes what concerns the session or the load; true when the message is
-  // about nothing else.
+  // Handles the parts that concern the session or the load. Returns true when
+  // the message contains nothing else.
   bool OnMessage(const EndpointId& endpoint,
                  const protocol::AgentToEntry& message,
                  Instant now);
@@ -54,35 +54,35 @@
   void OnHeartbeat(const EndpointId& endpoint,
                    const heartbeat::SessionRenewal& renewal,
                    Instant now);
-  // The agent says that it has no session of ours: begins a new one.
+  // The agent reported that it has no session of this entry: opens a new one.
   void Reopen(const EndpointId& endpoint, Instant now);
   void OnTimer(Instant now);
   Instant NextTimer() const;
-  // This process stood still: no connection that is being opened is given up
-  // before. Sessions lapse as ever, by their leases.
+  // This process stalled: no connection that is being opened times out before
+  // this instant. Sessions still lapse by their leases.
   void DeferTimeouts(Instant no_timeout_before);
 
-  // The requests that lost a session since the last call.
+  // Returns the requests that lost a session since the last call.
   std::vector<LostWork> TakeLost();
 
-  // Endpoints that may get new work, and how many the manifest has (0: the
-  // service has no such pool).
+  // Usable() returns the endpoints that may get new work, Members() the number
+  // of endpoints in the manifest (0: the service has no such pool).
   placement::Candidates Usable(const ServiceName& service,
                                protocol::EndpointRole role) const;
   std::size_t Members(const ServiceName& service,
                       protocol::EndpointRole role) const;
 
-  // True when a session is open and its lease not lapsed.
+  // True when a session is open and its lease has not lapsed.
   bool Open(const EndpointId& endpoint, Instant now) const;
   // The agent's incarnation; zero when no session is open.
   Incarnation AgentOf(const EndpointId& endpoint) const;
-  // Whose endpoint it is; null when neither the manifest nor a session under
-  // way knows it. Valid until the next Apply.
+  // Returns the endpoint's service; null when neither the manifest nor a
+  // current session has the endpoint. Valid until the next Apply.
   const ServiceName* ServiceOf(const EndpointId& endpoint) const;
   // Null for an unknown endpoint.
   placement::EndpointView* View(const EndpointId& endpoint);
 
-  // Sends when the session is open and its lease not lapsed, else does
+  // Sends when the session is open and its lease has not lapsed; else does
   // nothing and returns false.
   bool Send(const EndpointId& endpoint,
             protocol::EntryToAgent message,
@@ -96,8 +96,8 @@
 
   std::uint64_t SessionsLost() const { return this->sessions_lost; }
 
-  // What the outlier rules judge by. `latency` as a multiple of the expected,
-  // or in any unit that is the same for the pool.
+  // Input of the outlier ejection. `latency` is a multiple of the expected
+  // latency, or in any unit that is the same for the whole pool.
   void NoteSuccess(const EndpointId& endpoint, double latency);
   void NoteFailure(const EndpointId& endpoint, Instant now);
 
@@ -116,8 +116,8 @@
     EndpointLink link;
     placement::EndpointView view;
     bool wanted = false;   // in the working set
-    bool leaving = false;  // by its own word
-    Instant leaving_at{};  // when it last said so for the first time
+    bool leaving = false;  // as the agent reports it
+    Instant leaving_at{};  // when `leaving` last changed
     std::set<RequestId> attached;
   };
 
@@ -141,7 +141,7 @@
   RandomSource& random;
   std::vector<EntryAction>& actions;
   CapacityHook capacity_hook;
-  std::shared_ptr<const manifest::Manifest> manifest;  // in force; or null
+  std::shared_ptr<const manifest::Manifest> manifest;  // active; or null
   placement::WorkingSet working_set;
   std::set<HostId> leaving_hosts;  // by the platform's list
   std::map<EndpointId, std::unique_ptr<Member>> members;
--- a/src/entry/internal/generation_events.cc
+++ b/src/entry/internal/generation_events.cc
@@ -1,5 +1,5 @@
-// The part of GenerationMachine that takes what agents, callers and clocks
-// tell; generation_machine.cc holds the steps that follow from it.
+// The part of GenerationMachine that handles agent messages, caller events and
+// timers; generation_machine.cc holds the steps that follow from them.
 #include <algorithm>
 #include <type_traits>
 #include <variant>
@@ -9,11 +9,12 @@
 namespace acacialug::entry {
 namespace {
 
-// Endpoints asked in one turn, before the request goes back to the queue.
-constexpr std::size_t kReservesATurn = 4;
-constexpr std::size_t kPrefillsATurn = 3;
+// Number of endpoints tried per dispatch, before the request returns to the
+// queue.
+constexpr std::size_t kReservesPerDispatch = 4;
+constexpr std::size_t kPrefillsPerDispatch = 3;
 
-// Failures that speak against the endpoint that reports them.
+// Failures that count against the endpoint that reports them.
 bool IsEngineFault(ResultCode code) {
   return code == ResultCode::kEngineFailed ||
          code == ResultCode::kEngineUnavailable ||
@@ -36,11 +37,11 @@
 
 }  // namespace
 
-// A frame of another attempt than the one under way is a late answer to
-// something that was given up: taking it would mix two attempts' answers, or
-// start work on a reservation that was given back. It is dropped, and what it
-// tells of is cancelled in case the first Cancel was lost; but not what is
-// still held, of which a doubled answer tells.
+// A frame of an attempt other than the current one is a late answer to an
+// abandoned attempt. Accepting it would mix the answers of two attempts, or
+// start work on a released reservation. The frame is dropped, and its attempt
+// is cancelled in case the first Cancel was lost. A duplicated answer can also
+// refer to an attempt that is still held, which is not cancelled.
 bool GenerationMachine::Matches(const Leg& leg,
                                 LegStage stage,
                                 const EndpointId& endpoint,
@@ -87,7 +88,7 @@
 bool GenerationMachine::Take(const EndpointId& endpoint,
                              const protocol::Reserved& reserved,
                              Instant now) {
-  if (!this->Matches(this->decode, LegStage::kAsked, endpoint,
+  if (!this->Matches(this->decode, LegStage::kRequested, endpoint,
                      reserved.attempt)) {
     return false;
   }
@@ -99,8 +100,8 @@
   }
   if (this->prefill.Idle() && this->splits_prefill &&
       reserved.available_in > Duration::zero()) {
-    // A slot promised for later: a prefill that is done long before would be
-    // evicted while it waits.
+    // The slot is promised for later. The result of a prefill that finishes
+    // long before that would be evicted while it waits.
     const placement::EndpointView* const view = this->PickPrefill(now);
     const Duration ready_in =
         view == nullptr ? Duration::zero() : this->PrefillReadyIn(*view, now);
@@ -115,7 +116,7 @@
 bool GenerationMachine::Take(const EndpointId& endpoint,
                              const protocol::Prefilled& prefilled,
                              Instant now) {
-  if (!this->Matches(this->prefill, LegStage::kAsked, endpoint,
+  if (!this->Matches(this->prefill, LegStage::kRequested, endpoint,
                      prefilled.attempt)) {
     return false;
   }
@@ -157,7 +158,7 @@
   return true;
 }
 
-// The KV cache was imported: the export may go, and the start is over.
+// The KV cache was imported, so the export is released and the start has ended.
 void GenerationMachine::OnFirstChunk(Instant now) {
   this->EndLeg(this->prefill, true, now);
   if (this->repeats == 0 && this->starting) {
@@ -198,7 +199,7 @@
                              Instant now) {
   const bool of_prefill = refused.phase == protocol::Phase::kPrefill;
   Leg& leg = this->LegOf(refused.phase);
-  const LegStage stage = of_prefill ? LegStage::kAsked : leg.stage;
+  const LegStage stage = of_prefill ? LegStage::kRequested : leg.stage;
   if (!this->Matches(leg, stage, endpoint, refused.attempt)) {
     return false;
   }
@@ -219,11 +220,11 @@
                                         Duration hint,
                                         Instant now) {
   if (stage == LegStage::kRunning) {
-    --this->running;  // provably: this decode never ran
+    --this->running;  // this decode provably never ran
     this->Advance(now);
     return;
   }
-  if (this->decode.tried.size() < kReservesATurn && this->Reserve(now)) {
+  if (this->decode.tried.size() < kReservesPerDispatch && this->Reserve(now)) {
     return;
   }
   if (this->prefill.Idle()) {
@@ -234,8 +235,8 @@
 }
 
 void GenerationMachine::OnPrefillRefused(Duration hint, Instant now) {
-  --this->running;  // provably: this prefill never ran
-  if (this->prefill.tried.size() >= kPrefillsATurn ||
+  --this->running;  // this prefill provably never ran
+  if (this->prefill.tried.size() >= kPrefillsPerDispatch ||
       !this->StartPrefill(now)) {
     this->ReturnToQueue(hint, now);
   }
@@ -261,7 +262,7 @@
                        leg.stage == LegStage::kRunning;
   if (undone && counted && IsRequestFault(failed.code)) {
     this->EndLeg(leg, false, now);
-    --this->running;  // provably: this one never ran
+    --this->running;  // this run provably never began
     if (this->running == 0) {
       this->Refuse(failed.code, this->service.RetryAfter(), now);
     } else {
@@ -294,7 +295,7 @@
     this->Rerun(code, now);
     return;
   }
-  // Only the reservation is gone, or the prefill's result is still there.
+  // Either only the reservation is lost, or the prefill's result still exists.
   if (!ran || this->MayRepeat(code, now)) {
     this->context.counters.prefills_reused += ran ? 1 : 0;
     this->Advance(now);
@@ -305,10 +306,10 @@
   const bool done = this->prefill.stage == LegStage::kReady;
   this->EndLeg(this->prefill, true, now);
   if (code == ResultCode::kExportExpired) {
-    this->prefill.tried.clear();  // it computed well, and still caches that
+    this->prefill.tried.clear();  // it computed the prompt and caches it
   }
   if (this->decode.stage == LegStage::kRunning) {
-    return;  // the import may be done already; the decode will tell
+    return;  // the import may be done already; the decode will show it
   }
   this->context.counters.prefills_lost += done ? 1 : 0;
   if (this->MayRepeat(code, now)) {
@@ -379,12 +380,12 @@
   }
 }
 
-// Time passed while the legs are being started.
+// Handles timers that fire while the legs are being started.
 void GenerationMachine::OnStartTimer(Instant now) {
   if (now >= this->DeferTimeout(this->decode.timeout_at)) {
     this->context.fleet.NoteFailure(this->decode.endpoint, now);
     this->EndLeg(this->decode, true, now);
-    this->OnDecodeRefused(LegStage::kAsked, Duration::zero(), now);
+    this->OnDecodeRefused(LegStage::kRequested, Duration::zero(), now);
     return;
   }
   if (now >= this->DeferTimeout(this->prefill.timeout_at)) {
--- a/src/entry/internal/generation_forecast.cc
+++ b/src/entry/internal/generation_forecast.cc
@@ -7,15 +7,16 @@
 namespace acacialug::entry {
 namespace {
 
-// A prediction margin never eats more than this part of the target, or a run
-// of late answers would refuse everything and nothing would be learnt again.
-constexpr int kMarginPart = 4;
+// A prediction margin is at most the target divided by this number. Otherwise a
+// series of late answers would cause all requests to be refused, and no new
+// measurement would correct the margin.
+constexpr int kMarginDivisor = 4;
 
 }  // namespace
 
 std::uint32_t GenerationMachine::TokensLeft() const {
-  const std::uint32_t asked = this->work.generation.max_tokens;
-  return asked - std::min(asked, this->stream.Tokens());
+  const std::uint32_t requested = this->work.generation.max_tokens;
+  return requested - std::min(requested, this->stream.Tokens());
 }
 
 std::uint64_t GenerationMachine::PromptTokens() const {
@@ -70,13 +71,13 @@
          view.PrefillTime(this->PromptTokens() - this->CachedTokens(view, now));
 }
 
-// Symptom: after a decode endpoint died the others refuse as if their links
-// were busy, and exports are evicted unfetched. Sequence: reservations that
-// were lost while their prefills ran are made again elsewhere, each with a
-// transfer window. Cause: the windows were asked for now, when nothing is there
-// to be transferred yet.
+// Returns the remaining time of a running prefill. When a decode endpoint dies,
+// reservations whose prefills still run are made again at other endpoints, each
+// with a transfer window. If the windows were requested for now, when there is
+// nothing to transfer yet, the endpoints would refuse as if their links were
+// busy, and exports would be evicted before they are fetched.
 Duration GenerationMachine::PrefillLeft(Instant now) const {
-  if (this->prefill.stage != LegStage::kAsked) {
+  if (this->prefill.stage != LegStage::kRequested) {
     return Duration::zero();
   }
   return std::max(this->prefill.requested_at + this->prefill_expected - now,
@@ -121,10 +122,11 @@
   if (view == nullptr || this->SlotWait(*view, now) == Duration::zero()) {
     return view;
   }
-  return placement::SoonestFree(candidates, need);  // none of the few is free
+  // None of the sampled endpoints is free.
+  return placement::SoonestFree(candidates, need);
 }
 
-// The baselines do not predict: they ask whom they picked.
+// The baselines do not predict: they send the request to the picked endpoint.
 Duration GenerationMachine::SlotWait(const placement::EndpointView& view,
                                      Instant now) const {
   return this->context.options.placement == PlacementPolicy::kPredicted
@@ -132,16 +134,16 @@
              : Duration::zero();
 }
 
-// Whether starting now still meets the first token's target, and the records
-// of what was predicted. A request that has begun, or that cost a run, goes
-// on until its deadline: dropping it would only waste more.
+// Returns whether a start now still meets the first token's target, and records
+// the predictions. A request that has begun, or that already used a run,
+// continues until its deadline, since dropping it would waste that work.
 bool GenerationMachine::Feasible(Instant now) {
   Duration expected{};
   Duration ready_in{};
   if (this->splits_prefill) {
     const placement::EndpointView* const view = this->PickPrefill(now);
     if (view == nullptr) {
-      return true;  // not known; no place is found for it anyway
+      return true;  // unknown; no slot will be found anyway
     }
     ready_in = this->PrefillReadyIn(*view, now);
     expected = view->PrefillTime(this->PromptTokens());
@@ -181,12 +183,12 @@
 
 Duration GenerationMachine::Margin() const {
   return std::min(this->service.margin.Margin(),
-                  this->terms.latency_class->first_token / kMarginPart);
+                  this->terms.latency_class->first_token / kMarginDivisor);
 }
 
-// What is left until the decode has to start for the first token to be on
-// time; after that, or for a request that cost a run already, what is left
-// until its deadline.
+// Returns the time left until the decode has to start for the first token to be
+// on time. After that moment, or for a request that already used a run, returns
+// the time left until its deadline.
 Duration GenerationMachine::TimeToFirstToken(Instant now) const {
   const Instant start_by =
       std::min(this->terms.first_token_by, this->terms.deadline) -
--- a/src/entry/internal/generation_machine.cc
+++ b/src/entry/internal/generation_machine.cc
@@ -8,9 +8,10 @@
 namespace acacialug::entry {
 namespace {
 
-// How long to wait after all of them refused, if they gave no advice.
-constexpr Duration kShortestPause = 2ms;
-constexpr Duration kLongestPause = 50ms;
+// Bounds of the wait after all endpoints refused; the lower bound applies when
+// they gave no retry advice.
+constexpr Duration kMinPause = 2ms;
+constexpr Duration kMaxPause = 50ms;
 
 }  // namespace
 
@@ -42,13 +43,13 @@
 void GenerationMachine::BeginLeg(Leg& leg,
                                  const EndpointId& endpoint,
                                  Instant now) {
-  // Both legs of one try share a number; a leg that is tried again takes a
-  // new one, which supersedes the old.
+  // Both legs of one try share an attempt number. A leg that is tried again
+  // takes a new number, which supersedes the old one.
   if (leg.last_number == this->number) {
     this->number = AttemptNumber(this->number.value + 1);
   }
   leg.last_number = this->number;
-  leg.stage = LegStage::kAsked;
+  leg.stage = LegStage::kRequested;
   leg.endpoint = endpoint;
   leg.attempt = this->Attempt(this->number);
   leg.requested_at = now;
@@ -114,7 +115,7 @@
   if (this->prefill.Idle() && !this->ReservesFirst()) {
     this->EndLeg(this->decode, true, now);
     if (!this->StartPrefill(now)) {
-      this->ReturnToQueue(kShortestPause, now);
+      this->ReturnToQueue(kMinPause, now);
     }
     return;
   }
@@ -140,30 +141,31 @@
     this->StartDecode(now);
   } else if (this->prefill.Idle() && this->prefill_at == kNever &&
              !this->StartPrefill(now)) {
-    this->ReturnToQueue(kShortestPause, now);
+    this->ReturnToQueue(kMinPause, now);
   }
 }
 
 bool GenerationMachine::Reserve(Instant now) {
   placement::EndpointView* const view = this->PickDecode(now);
   if (view == nullptr) {
-    this->free_in = kShortestPause;
+    this->free_in = kMinPause;
     return false;
   }
   this->free_in = this->SlotWait(*view, now);
-  // Asking it now would only be refused; but an export that is about to be
-  // evicted may get a transfer window that others were refused.
-  const bool may_pass =
+  // A reservation requested now would be refused, with one exception: an export
+  // that is about to be evicted may get a transfer window that other requests
+  // were refused.
+  const bool may_reserve_early =
       this->ExportAlive(now) && view->HasCapacity(this->KvTokens());
-  if (this->free_in > Duration::zero() && !may_pass) {
+  if (this->free_in > Duration::zero() && !may_reserve_early) {
     return false;
   }
   Duration ready_in = this->PrefillLeft(now);
   if (this->prefill.Idle() && this->splits_prefill) {
     const placement::EndpointView* const prefill_view = this->PickPrefill(now);
     if (prefill_view == nullptr) {
-      this->free_in = kShortestPause;
-      return false;  // nowhere to prefill: do not hold memory for it
+      this->free_in = kMinPause;
+      return false;  // no prefill endpoint: hold no decode memory
     }
     ready_in = this->PrefillReadyIn(*prefill_view, now);
   }
@@ -231,8 +233,7 @@
 
 void GenerationMachine::ReserveAgainSoon(Duration hint, Instant now) {
   this->decode.tried.clear();
-  this->reserve_again_at =
-      now + std::clamp(hint, kShortestPause, kLongestPause);
+  this->reserve_again_at = now + std::clamp(hint, kMinPause, kMaxPause);
 }
 
 void GenerationMachine::ReturnToQueue(Duration hint, Instant now) {
@@ -249,11 +250,11 @@
 }
 
 void GenerationMachine::PauseQueue(Duration hint, Instant now) {
-  this->service.BlockUntil(now +
-                           std::clamp(hint, kShortestPause, kLongestPause));
+  this->service.BlockUntil(now + std::clamp(hint, kMinPause, kMaxPause));
 }
 
-// Takes one repeat of a run from the budget; without, the request ends here.
+// Takes one repeat of a run from the budget. If there is none, the request ends
+// here.
 bool GenerationMachine::MayRepeat(ResultCode code, Instant now) {
   if (this->repeats + 1 < this->context.options.max_attempts &&
       this->context.budget.TryTake()) {
@@ -266,7 +267,7 @@
   return false;
 }
 
-// A run is lost and has to be done again, after what was delivered.
+// A run is lost and has to be repeated from the end of the delivered text.
 void GenerationMachine::Rerun(ResultCode code, Instant now) {
   this->EndLeg(this->decode, true, now);
   this->EndLeg(this->prefill, true, now);
@@ -279,10 +280,10 @@
   }
   this->context.counters.streams_resumed += this->stream.Begun() ? 1 : 0;
   this->EndStart();
-  // Symptom: a decode endpoint dies, and as many whole prompts as it had
-  // streams are computed again, though prefill engines still cache them. The
-  // prefill endpoint did not fail: as one of the tried it would be the only one
-  // passed over, and it is the only one that has the prefix.
+  // The prefill endpoint did not fail. If it stayed in the list of tried
+  // endpoints, the only endpoint that caches the prefix would be skipped. The
+  // death of a decode endpoint would then cause the whole prompt of each of its
+  // streams to be computed again.
   this->prefill.tried.clear();
   this->prefill_at = kNever;
   this->reserve_again_at = kNever;
--- a/src/entry/internal/generation_machine.h
+++ b/src/entry/internal/generation_machine.h
@@ -11,26 +11,26 @@
 
 namespace acacialug::entry {
 
-// How far one side of a generation is.
+// Progress of one side of a generation.
 enum class LegStage : std::uint8_t {
   kNone,
-  kAsked,    // Reserve sent (decode); StartPrefill sent (prefill)
-  kReady,    // reserved (decode); the result waits in the engine (prefill)
-  kRunning,  // StartDecode sent (decode)
+  kRequested,  // Reserve sent (decode); StartPrefill sent (prefill)
+  kReady,      // reserved (decode); the result waits in the engine (prefill)
+  kRunning,    // StartDecode sent (decode)
 };
 inline constexpr EnumNames<LegStage, 4> kLegStageNames = {{
     {LegStage::kNone, "none"},
-    {LegStage::kAsked, "asked"},
+    {LegStage::kRequested, "asked"},
     {LegStage::kReady, "ready"},
     {LegStage::kRunning, "running"},
 }};
 
-// One side of a generation: the endpoint, and the attempt's name there.
+// One side of a generation: the endpoint and the attempt's id there.
 struct Leg {
   LegStage stage = LegStage::kNone;
   EndpointId endpoint;
   AttemptId attempt;
-  AttemptNumber last_number;  // also of earlier tries of this side
+  AttemptNumber last_number;  // including earlier tries
   Instant requested_at{};
   Instant timeout_at = kNever;
   std::vector<std::uint64_t> tried;  // keys of endpoints not to repeat
@@ -38,13 +38,14 @@
   bool Idle() const { return this->stage == LegStage::kNone; }
 };
 
-// A generation: reserve a decode slot, prefill, decode, pass the answer on.
+// A generation: reserves a decode slot, prefills, decodes, and delivers the
+// answer.
 //
-// The two legs are kept apart, so that losing one never costs the other: a
-// prefill result that is alive is used with another reservation, and a
-// reservation outlives a failed prefill. Once the first chunk shows that the
-// KV cache was imported, the prefill leg is given back; after that a lost
-// decode endpoint means a new run that goes on after the delivered text.
+// The two legs are independent, so that the loss of one never loses the other:
+// a prefill result that still exists is used with another reservation, and a
+// reservation outlives a failed prefill. Once the first chunk shows that the KV
+// cache was imported, the prefill leg is released. After that, the loss of the
+// decode endpoint causes a new run that continues after the delivered text.
 class GenerationMachine : public RequestMachine {
  public:
   GenerationMachine(RequestContext shared,
@@ -95,15 +96,16 @@
                LegStage stage,
                const EndpointId& endpoint,
                const AttemptId& attempt) const;
-  // The attempt is one that is under way at that endpoint now.
+  // True if the attempt is in progress at that endpoint now.
   bool Holds(const EndpointId& endpoint, const AttemptId& attempt) const;
   Leg& LegOf(protocol::Phase phase);
   void OnFirstChunk(Instant now);
 
   // ---- steps (generation_machine.cc) ----
-  // Does whatever the legs' stages allow next.
+  // Takes the next step that the legs' stages allow.
   void Advance(Instant now);
-  // False when no endpoint can be asked now; free_in tells when to try again.
+  // Returns false when no endpoint can take the request now; `free_in` is then
+  // the time until the next try.
   bool Reserve(Instant now);
   bool StartPrefill(Instant now);
   void StartDecode(Instant now);
@@ -131,7 +133,7 @@
   Duration Margin() const;
   Duration PrefillReadyIn(const placement::EndpointView& view,
                           Instant now) const;
-  // Of a prefill under way, by what was predicted of it.
+  // Returns the predicted remaining time of a prefill in progress.
   Duration PrefillLeft(Instant now) const;
   Duration TimeToFirstToken(Instant now) const;
   protocol::GenerationRequest RemainingWork() const;
@@ -146,7 +148,7 @@
   void BeginStart(Instant now);
   void EndStart();
 
-  GenerationArrived work;  // prompt_text is dropped once it was hashed
+  GenerationArrived work;  // prompt_text is dropped after hashing
   std::uint64_t prompt_bytes = 0;
   bool splits_prefill = true;  // the service has a prefill pool
   protocol::PrefixChain prefix;
@@ -154,14 +156,14 @@
 
   Leg decode;
   Leg prefill;
-  AttemptNumber number;       // the highest given out
+  AttemptNumber number;       // the highest assigned
   std::uint32_t running = 0;  // starts that are not provably undone
-  std::uint32_t repeats = 0;  // runs that were done again
+  std::uint32_t repeats = 0;  // repeated runs
   protocol::KvHandle kv;
   Instant export_until{};
-  Duration free_in{};  // until a decode slot is expected, when none is free
+  Duration free_in{};  // expected time until a decode slot is free
   Instant reserve_again_at = kNever;
-  Instant prefill_at = kNever;  // a promised slot: not before
+  Instant prefill_at = kNever;  // not before this, for a promised slot
   std::uint32_t prompt_tokens_counted = 0;
   std::uint32_t cached_tokens = 0;
   std::uint64_t cached_expected = 0;
@@ -170,7 +172,7 @@
   Instant first_token_predicted{};
   Duration rest_after_prefill{};  // transfer and the first token
   std::optional<protocol::Ended> ended;
-  Duration start_expected{};  // without waiting, for the limit's measure
+  Duration start_expected{};  // excluding waits; for the concurrency limit
   Duration prefill_expected{};
 };
 
--- a/src/entry/internal/log_once.cc
+++ b/src/entry/internal/log_once.cc
@@ -11,13 +11,14 @@
 
 using once::WallMilliseconds;
 
-constexpr Duration kLongestWindow = 24h;  // what a ledger remembers
-constexpr WallMilliseconds kMostSkew = std::chrono::minutes(5);
-constexpr int kSkewPart = 8;  // of a retention shorter than that
+constexpr Duration kMaxWindow = 24h;  // the time for which a ledger keeps keys
+constexpr WallMilliseconds kMaxSkew = std::chrono::minutes(5);
+// For short retentions, the skew is the retention divided by this number.
+constexpr int kSkewDivisor = 8;
 
 once::CoordinatorOptions ClaimOptions(const LogOnce::Options& options) {
   once::CoordinatorOptions claims = options.claims;
-  claims.table.window = std::min(options.log_retention, kLongestWindow);
+  claims.table.window = std::min(options.log_retention, kMaxWindow);
   return claims;
 }
 
@@ -69,25 +70,26 @@
       claims(ClaimOptions(this->options), random_source) {}
 
 WallMilliseconds LogOnce::ClockSkew(Duration log_retention) {
-  return std::min(kMostSkew, ToWall(log_retention) / kSkewPart);
+  return std::min(kMaxSkew, ToWall(log_retention) / kSkewDivisor);
 }
 
 WallMilliseconds LogOnce::KeyWindow(Duration log_retention) {
-  return ToWall(std::min(log_retention, kLongestWindow)) -
+  return ToWall(std::min(log_retention, kMaxWindow)) -
          2 * ClockSkew(log_retention);
 }
 
-// Symptom: a key ran twice. Sequence: its claim was forgotten, and then the
-// host's clock was set back, so that the key looked young again. So time since
-// the start counts by our own clock too, and the later of both is taken; a
-// clock that ran ahead for a while and was put right is believed again.
+// Guards against a key that runs twice: if the host's clock is set back after
+// the key's claim expired, the key appears young again. Time since the start
+// therefore also counts by the monotonic clock, and the later of both is used.
+// A wall clock that was ahead for a while and was then corrected is trusted
+// again.
 WallMilliseconds LogOnce::WallNow(Instant now) {
-  const WallMilliseconds own = ToWall(now.time_since_epoch());
-  const WallMilliseconds told = this->options.wall_clock();
+  const WallMilliseconds monotonic = ToWall(now.time_since_epoch());
+  const WallMilliseconds reported = this->options.wall_clock();
   if (!this->wall_offset) {
-    this->wall_offset = told - own;
+    this->wall_offset = reported - monotonic;
   }
-  return std::max(told, *this->wall_offset + own);
+  return std::max(reported, *this->wall_offset + monotonic);
 }
 
 void LogOnce::Submit(const OnceSubmission& submission, Instant now) {
@@ -106,12 +108,13 @@
   this->Claim(submission, {}, now);
 }
 
-// The claim of this request stands at the last known position, and its home
-// provably ran nothing: the claim may move to the home proposed now. If
-// another submission moved it first, that one's home is asked.
+// The claim of this request is at the last known position, and its home
+// provably ran nothing, so the claim may be reassigned to the home proposed
+// now. If another submission reassigned it first, that submission's home is
+// queried.
 void LogOnce::OnRefused(const OnceSubmission& submission, Instant now) {
   if (!submission.ticket.empty()) {
-    // A ticket never moves: its home is part of its value.
+    // A ticket is never reassigned: its home is part of its value.
     this->RunTicket(submission, now);
     return;
   }
@@ -195,7 +198,7 @@
 void LogOnce::OnTimer(Instant now) {
   if (!this->started) {
     this->started = true;
-    this->WallNow(now);  // from here on the clock is watched
+    this->WallNow(now);  // sets the clock offset
     this->claims.Start(now);
   }
   this->claims.OnTimer(now);
@@ -214,7 +217,7 @@
   return std::exchange(this->actions, {});
 }
 
-// ---- what the claims' coordinator asks for ----
+// ---- actions of the claim coordinator ----
 
 void LogOnce::Collect() {
   for (const once::CoordinatorAction& action : this->claims.TakeActions()) {
--- a/src/entry/internal/request_arrivals.cc
+++ b/src/entry/internal/request_arrivals.cc
@@ -1,4 +1,4 @@
-// The part of RequestRouter that takes or refuses arriving requests.
+// The part of RequestRouter that accepts or refuses arriving requests.
 #include <utility>
 
 #include "entry/internal/arrival_rules.h"
@@ -7,10 +7,10 @@
 namespace acacialug::entry {
 namespace {
 
-// When a request refused by the state of the whole process may try again.
-constexpr Duration kDoorAdvice = 1s;
-// A prompt counts as too long by the estimate only beyond this multiple of
-// the context: below it, the engine's own count decides.
+// Retry advice for a request refused because of the state of the whole process.
+constexpr Duration kArrivalRetryAfter = 1s;
+// The estimate refuses a prompt as too long only beyond this multiple of the
+// context. Below it, the engine's own count decides.
 constexpr double kLengthTolerance = 1.25;
 
 }  // namespace
@@ -60,7 +60,7 @@
   this->BeginInput(now);
   const ResultCode refusal = this->ArrivalRefusal();
   if (refusal != ResultCode::kOk) {
-    this->Refuse(arrived.request, refusal, kDoorAdvice);
+    this->Refuse(arrived.request, refusal, kArrivalRetryAfter);
     this->FinishInput(now);
     return;
   }
@@ -86,7 +86,7 @@
   this->BeginInput(now);
   const ResultCode refusal = this->ArrivalRefusal();
   if (refusal != ResultCode::kOk) {
-    this->Refuse(arrived.request, refusal, kDoorAdvice);
+    this->Refuse(arrived.request, refusal, kArrivalRetryAfter);
     this->FinishInput(now);
     return;
   }
@@ -119,8 +119,8 @@
   if (this->options.feasibility_counts_queue &&
       this->options.order != QueueOrder::kNewest &&
       now + added.Service().QueueWait() > added.LatestStart()) {
-    // Its turn would come too late. Told now, the caller can go elsewhere;
-    // told at that time, it has waited for nothing.
+    // The request would be dispatched too late. If it is refused now, the
+    // caller can try elsewhere; if it is refused later, the wait was useless.
     added.Refuse(ResultCode::kDeadlineUnreachable, added.Service().RetryAfter(),
                  now);
   } else {
--- a/src/entry/internal/request_machine.h
+++ b/src/entry/internal/request_machine.h
@@ -19,7 +19,7 @@
 
 class IOnceCoordinator;
 
-// What the machines of all requests share.
+// State shared by the machines of all requests.
 struct RequestContext {
   const EntryOptions& options;
   Fleet& fleet;
@@ -28,11 +28,11 @@
   EntryCounters& counters;
   RandomSource& random;
   std::vector<EntryAction>& actions;
-  const Instant& no_timeout_before;  // moves when this process stood still
+  const Instant& no_timeout_before;  // later after a process stall
 };
 
-// What is fixed about a request from its arrival on; it keeps the manifest
-// under which it began.
+// Properties of a request that are fixed at its arrival. The request keeps the
+// manifest that was active then.
 struct RequestTerms {
   RequestId request;
   CallerName caller;
@@ -46,9 +46,9 @@
 };
 
 enum class RequestState : std::uint8_t {
-  kWaiting,  // belongs into its service's queue
+  kWaiting,  // belongs in its service's queue
   kActive,
-  kDone,  // answered, or its caller is gone
+  kDone,  // answered, or its caller disconnected
 };
 inline constexpr EnumNames<RequestState, 3> kRequestStateNames = {{
     {RequestState::kWaiting, "waiting"},
@@ -56,7 +56,7 @@
     {RequestState::kDone, "done"},
 }};
 
-// The life of one request, from the queue to its one final answer. Not thread
+// Handles one request from the queue to its single final answer. Not thread
 // safe; `now` never goes backwards.
 class RequestMachine {
  public:
@@ -65,8 +65,8 @@
                  ServiceState& service_state);
   virtual ~RequestMachine() = default;
 
-  // Its turn in the queue has come. Leaves it kWaiting when no endpoint can
-  // take it now. Precondition: state() is kWaiting.
+  // The queue released the request. It stays kWaiting when no endpoint can take
+  // it now. Precondition: State() is kWaiting.
   virtual void Dispatch(Instant now) = 0;
   virtual void OnMessage(const EndpointId& endpoint,
                          const protocol::AgentToEntry& message,
@@ -76,17 +76,17 @@
   // Call at or after WakeAt().
   virtual void OnTimer(Instant now) = 0;
   virtual Instant WakeAt() const = 0;
-  // The latest moment at which starting it still meets its target, if
-  // nothing is queued ahead of it.
+  // Returns the latest moment at which a start still meets the target, if no
+  // request is queued ahead.
   virtual Instant LatestStart() const = 0;
-  // Gives back all that is held, without an answer.
+  // Releases everything that is held, without an answer.
   virtual void Abandon(Instant now) = 0;
 
-  // Answers as refused: nothing ran. Precondition: that is so.
+  // Answers that the request was refused. Precondition: nothing ran.
   void Refuse(ResultCode code, Duration retry_after, Instant now);
 
   RequestState State() const { return this->state; }
-  // It was answered in part: goes before all that wait.
+  // True if the request was answered in part; it precedes all waiting requests.
   bool Resuming() const { return this->resuming; }
   const RequestTerms& Terms() const { return this->terms; }
   ServiceState& Service() { return this->service; }
@@ -94,7 +94,7 @@
 
  protected:
   AttemptId Attempt(AttemptNumber number) const;
-  // The one final answer of a request that does not complete.
+  // Sends the single final answer of a request that does not complete.
   void Fail(ResultCode code,
             protocol::Outcome outcome,
             Duration retry_after,
@@ -102,11 +102,12 @@
   void Emit(EntryAction action) {
     this->context.actions.push_back(std::move(action));
   }
-  // When somebody who stays silent until `at` may be judged by it.
+  // Returns when a response timeout that ends at `at` may take effect, given
+  // the stalls of this process.
   Instant DeferTimeout(Instant at) const {
     return std::max(at, this->context.no_timeout_before);
   }
-  // The last moment until which it may wait for its turn.
+  // Returns the moment until which the request may wait in the queue.
   Instant WaitDeadline() const;
 
   RequestContext context;
--- a/src/entry/internal/request_router.cc
+++ b/src/entry/internal/request_router.cc
@@ -11,16 +11,19 @@
 namespace acacialug::entry {
 namespace {
 
-// While no endpoint has room, and none tells of any.
-constexpr Duration kNoPlacePause = 10ms;
-// See NoteStall. The shortest silence that anybody is judged by is the
-// 300 ms of EntryOptions::reserve_timeout.
-constexpr Duration kOwnPause = 100ms;
-// One turn of the event loop, which reads the sockets before it rings.
-constexpr Duration kReadingTime = 20ms;
-// In which an agent of another region answers what had not left this process
-// before it stood still.
-constexpr Duration kListeningTime = 200ms;
+// How long a queue stays blocked when no endpoint has capacity and none reports
+// free capacity.
+constexpr Duration kNoCapacityPause = 10ms;
+// A timer that is late by this time indicates a process stall (see NoteStall).
+// It is below the shortest response timeout, which is the 300 ms of
+// EntryOptions::reserve_timeout.
+constexpr Duration kMinStall = 100ms;
+// Time for one iteration of the event loop, which reads the sockets before it
+// fires the timers.
+constexpr Duration kSocketReadTime = 20ms;
+// Time in which an agent of another region answers messages that had not left
+// this process before it stalled.
+constexpr Duration kAgentAnswerTime = 200ms;
 
 template <typename Message>
 concept HasAttempt = requires(const Message& message) {
@@ -39,8 +42,8 @@
       message);
 }
 
-// Messages that tell of something held at the agent for the attempt.
-bool TellsOfHeld(const protocol::AgentToEntry& message) {
+// True for messages that show that the agent holds something for the attempt.
+bool ShowsHeldResource(const protocol::AgentToEntry& message) {
   return std::holds_alternative<protocol::Reserved>(message) ||
          std::holds_alternative<protocol::Prefilled>(message) ||
          std::holds_alternative<protocol::Chunk>(message);
@@ -151,7 +154,7 @@
       this->OnMachineChanged(*found->second, now);
     } else {
       ++this->counters.dropped_frames;
-      if (TellsOfHeld(message)) {
+      if (ShowsHeldResource(message)) {
         this->fleet.Send(endpoint, protocol::Cancel{.attempt = attempt}, now);
       }
     }
@@ -220,9 +223,9 @@
 
 // ---- around each event ----
 
-// A process that was paused for longer than a lease wakes up with sessions
-// that its agents gave up meanwhile; had it acted on an event first, it would
-// have started work on a reservation that another entry now holds.
+// After a stall longer than a lease, the process resumes with sessions that its
+// agents have dropped. If it handled an event before it drops them too, it
+// could start work on a reservation that another entry now holds.
 void RequestRouter::BeginInput(Instant now) {
   this->NoteStall(now);
   this->fleet.OnTimer(now);
@@ -272,8 +275,8 @@
   }
 }
 
-// Keeps the queue, the timer and the table of requests in step with what a
-// machine has become.
+// Updates the queue, the timer and the table of requests to the machine's new
+// state.
 void RequestRouter::OnMachineChanged(RequestMachine& machine, Instant now) {
   const RequestId request = machine.Terms().request;
   this->services_to_dispatch.insert(machine.Terms().service->name);
@@ -285,8 +288,8 @@
       !this->queued.contains(request)) {
     this->Enqueue(machine, false, now);
   }
-  // A timer that is early costs one look; one moved for each chunk of each
-  // stream would cost more.
+  // A timer that fires early costs one check. Rearming it for each chunk of
+  // each stream would cost more.
   const Instant wake = std::max(machine.WakeAt(), now);
   if (wake < this->timers.At(request)) {
     this->timers.Arm(request, wake);
@@ -313,9 +316,10 @@
       machine.Service().Push(latency_class, machine.QueueRecord());
   if (refused) {
     this->queued.erase(*refused);
-    RequestMachine& loser = *this->machines.at(*refused);
-    loser.Refuse(ResultCode::kOverloaded, loser.Service().RetryAfter(), now);
-    if (&loser != &machine) {
+    RequestMachine& refused_machine = *this->machines.at(*refused);
+    refused_machine.Refuse(ResultCode::kOverloaded,
+                           refused_machine.Service().RetryAfter(), now);
+    if (&refused_machine != &machine) {
       this->Erase(*refused);
     }
   }
@@ -352,7 +356,7 @@
           {.request = *request, .progress = Progress::kDispatched, .at = now});
     }
     if (machine.State() == RequestState::kWaiting && !state.Blocked(now)) {
-      state.BlockUntil(now + kNoPlacePause);
+      state.BlockUntil(now + kNoCapacityPause);
     }
     this->OnMachineChanged(machine, now);
   }
@@ -361,23 +365,25 @@
 
 // ---- time ----
 
-// Symptom: after this process stood still, healthy agents count as silent,
-// engines as stalled and readers as slow. Sequence: it wakes, its timers run,
-// and only then it reads what arrived meanwhile. A timer that is late by more
-// than a loop's usual delay tells of it: the timers then wait until the sockets
-// were read, and nobody is judged by silence before this process has listened
-// again. Sessions still lapse at once, by their leases.
+// Guards against false timeouts after a process stall: if the timers ran before
+// the process reads what arrived in the meantime, healthy agents would count as
+// unresponsive, engines as stalled and readers as slow. A timer that is late by
+// more than the event loop's usual delay indicates a stall. The timers then
+// wait until the sockets were read, and no response timeout takes effect before
+// the process has had time to receive answers. Sessions still lapse
+// immediately, by their leases.
 void RequestRouter::NoteStall(Instant now) {
   const Instant due = this->NextTimer();
-  // Not again before somebody could be judged: a process whose timers are
-  // always late would wait for a dead agent for ever.
-  const bool judged = this->fired_at >= this->no_timeout_before ||
-                      due > this->no_timeout_before;
-  if (!judged || due == kNever || due == Instant{} || now - due < kOwnPause) {
+  // Timeouts are not deferred again before one could take effect. Otherwise a
+  // process whose timers are always late would wait for a dead agent forever.
+  const bool timeouts_applied = this->fired_at >= this->no_timeout_before ||
+                                due > this->no_timeout_before;
+  if (!timeouts_applied || due == kNever || due == Instant{} ||
+      now - due < kMinStall) {
     return;
   }
-  this->timers_held_until = now + kReadingTime;
-  this->no_timeout_before = now + kListeningTime;
+  this->timers_held_until = now + kSocketReadTime;
+  this->no_timeout_before = now + kAgentAnswerTime;
   this->fleet.DeferTimeouts(this->no_timeout_before);
 }
 
--- a/src/entry/internal/request_router.h
+++ b/src/entry/internal/request_router.h
@@ -22,8 +22,8 @@
 
 namespace acacialug::entry {
 
-// What EntryCore does: brings events to the machines of the requests, and
-// gives waiting requests their turn. Methods as in EntryCore.
+// Implements EntryCore: forwards events to the machines of the requests, and
+// dispatches waiting requests. The methods are those of EntryCore.
 class RequestRouter {
  public:
   RequestRouter(EntryOptions entry_options, RandomSource& random_source);
@@ -75,9 +75,9 @@
   RequestContext Context();
 
   // ---- around each event ----
-  // Gives up lapsed sessions before anything else is decided.
+  // Drops lapsed sessions before any other decision.
   void BeginInput(Instant now);
-  // Brings about what the event made possible.
+  // Carries out everything that the event made possible.
   void FinishInput(Instant now);
   void TakeLostWork(Instant now);
   void TakeVerdicts(Instant now);
@@ -105,9 +105,9 @@
   std::set<RequestId> queued;
   TimerSet<RequestId> timers;
   TimerSet<ServiceName> unblocks;
-  Instant timers_held_until{};  // but for fleet's and unblocks
-  Instant no_timeout_before{};  // nobody is judged by silence before
-  Instant fired_at{};           // the last time that timers were not held
+  Instant timers_held_until{};  // except those of fleet and unblocks
+  Instant no_timeout_before{};  // no response timeout ends before this
+  Instant fired_at{};           // the last time that timers ran
   bool draining = false;
 };
 
--- a/src/entry/internal/service_state.cc
+++ b/src/entry/internal/service_state.cc
@@ -7,10 +7,10 @@
 namespace acacialug::entry {
 namespace {
 
-constexpr double kBeginWeight = 0.1;
-constexpr Duration kLongestInterval = 1s;
-constexpr Duration kShortestAdvice = 100ms;
-constexpr Duration kLongestAdvice = 30s;
+constexpr double kStartIntervalWeight = 0.1;
+constexpr Duration kMaxInterval = 1s;
+constexpr Duration kMinRetryAfter = 100ms;
+constexpr Duration kMaxRetryAfter = 30s;
 
 admission::OrderRule RuleOf(QueueOrder order) {
   switch (order) {
@@ -122,12 +122,11 @@
 void ServiceState::NoteStarted(Instant now) {
   const bool queued_now = this->Queued() > 0;
   if (queued_now && this->started_while_queued) {
-    const Duration interval =
-        std::min(now - this->last_start_at, kLongestInterval);
+    const Duration interval = std::min(now - this->last_start_at, kMaxInterval);
     this->start_interval +=
         this->start_interval == Duration::zero()
             ? interval
-            : FromSeconds(kBeginWeight *
+            : FromSeconds(kStartIntervalWeight *
                           Seconds(interval - this->start_interval));
   }
   this->started_while_queued = queued_now;
@@ -139,7 +138,7 @@
 }
 
 Duration ServiceState::RetryAfter() const {
-  return std::clamp(this->QueueWait(), kShortestAdvice, kLongestAdvice);
+  return std::clamp(this->QueueWait(), kMinRetryAfter, kMaxRetryAfter);
 }
 
 }  // namespace acacialug::entry
--- a/src/entry/internal/service_state.h
+++ b/src/entry/internal/service_state.h
@@ -19,31 +19,32 @@
 
 namespace acacialug::entry {
 
-// What one entry's shard knows and decides for one service: its queues, its
-// concurrency limit, how its endpoints are picked, and what was learnt of its
-// timing. Outlives manifests. Not thread safe.
+// State of one service at one entry's shard: its queues, its concurrency limit,
+// its rules for picking endpoints, and its measured timing. It outlives
+// manifests. Not thread safe.
 class ServiceState {
  public:
   ServiceState(const manifest::Service& service, const EntryOptions& options);
 
-  // ---- the queues, one a class; a smaller priority goes first ----
+  // ---- queues, one per class; a smaller priority goes first ----
 
-  // Queues a new request. The result is the one refused for it (see
-  // FairQueue::Push).
+  // Queues a new request. Returns the request that is refused in exchange, if
+  // any (see FairQueue::Push).
   std::optional<RequestId> Push(const manifest::LatencyClass& latency_class,
                                 const admission::Waiting& waiting);
-  // Puts one back that was taken and found no place.
+  // Puts back a request that was popped and found no free slot.
   void Restore(const manifest::LatencyClass& latency_class,
                const admission::Waiting& waiting);
-  // A request that has answered in part already goes before all others.
+  // Queues a request that was answered in part; it precedes all others.
   void PushResumed(const RequestId& request);
-  // The next one in turn, if the limit admits it now. A resumed one is not
-  // held back by the limit: its caller waits in the middle of an answer.
+  // Takes the next request, if the limit admits it now. The limit does not
+  // apply to a resumed request, since its caller waits in the middle of an
+  // answer.
   std::optional<RequestId> Pop();
   void Remove(const RequestId& request);
   std::size_t Queued() const;
 
-  // ---- while no endpoint has room ----
+  // ---- blocking while no endpoint has capacity ----
 
   void BlockUntil(Instant until) { this->blocked_until = until; }
   void Unblock() { this->blocked_until = Instant{}; }
@@ -52,12 +53,13 @@
 
   // ---- retry advice ----
 
-  // A request of this service was answered, or at least begun.
+  // The answer to a request of this service has begun or completed.
   void NoteStarted(Instant now);
-  // How long one more would wait behind those that wait now, by the pace at
-  // which waiting ones were begun lately; zero until that is known.
+  // Returns how long a new request would wait behind those that wait now, by
+  // the recent interval between starts of waiting requests; zero until it is
+  // known.
   Duration QueueWait() const;
-  // When a refused request may try again.
+  // Returns after which time a refused request may be retried.
   Duration RetryAfter() const;
 
   admission::AdaptiveLimit limit;
@@ -79,7 +81,8 @@
   std::deque<RequestId> resumed;
   Instant blocked_until{};
   Instant last_start_at{};
-  // The last one; its successor gives a pace.
+  // True if requests were queued at the last start; the interval to the next
+  // start is then measured.
   bool started_while_queued = false;
   Duration start_interval{};
 };
--- a/src/entry/internal/timer_set.h
+++ b/src/entry/internal/timer_set.h
@@ -32,13 +32,13 @@
 
   void Disarm(const Key& key) { this->Arm(key, kNever); }
 
-  // When the key's timer is due; kNever when it is not armed.
+  // Returns when the key's timer is due; kNever when it is not armed.
   Instant At(const Key& key) const {
     const auto found = this->armed.find(key);
     return found == this->armed.end() ? kNever : found->second;
   }
 
-  // Takes one key whose timer is due.
+  // Removes and returns one key whose timer is due.
   std::optional<Key> PopDue(Instant now) {
     if (this->order.empty() || this->order.begin()->first > now) {
       return std::nullopt;
--- a/src/entry/internal/token_estimator.cc
+++ b/src/entry/internal/token_estimator.cc
@@ -9,13 +9,15 @@
 namespace {
 
 constexpr double kWeight = 0.05;
-// An engine's count outside these bounds is taken for a fault.
-constexpr double kLeastRatio = 0.25;
-constexpr double kMostRatio = 4.0;
-// Short prompts are mostly template and say little.
-constexpr std::uint64_t kLeastBytes = 64;
-
-double PlainGuess(std::uint64_t bytes) {
+// An engine's count outside these bounds, relative to the uncorrected estimate,
+// is treated as a fault.
+constexpr double kMinRatio = 0.25;
+constexpr double kMaxRatio = 4.0;
+// Shorter prompts consist mostly of the template, so their ratio is not
+// representative.
+constexpr std::uint64_t kMinPromptBytes = 64;
+
+double UncorrectedEstimate(std::uint64_t bytes) {
   return static_cast<double>(bytes) /
          static_cast<double>(placement::kBytesPerToken);
 }
@@ -23,15 +25,17 @@
 }  // namespace
 
 std::uint64_t TokenEstimator::Estimate(std::uint64_t bytes) const {
-  return static_cast<std::uint64_t>(std::ceil(PlainGuess(bytes) * this->ratio));
+  return static_cast<std::uint64_t>(
+      std::ceil(UncorrectedEstimate(bytes) * this->ratio));
 }
 
 void TokenEstimator::Learn(std::uint64_t bytes, std::uint64_t tokens) {
-  if (bytes < kLeastBytes || tokens == 0) {
+  if (bytes < kMinPromptBytes || tokens == 0) {
     return;
   }
-  const double measured = std::clamp(
-      static_cast<double>(tokens) / PlainGuess(bytes), kLeastRatio, kMostRatio);
+  const double measured =
+      std::clamp(static_cast<double>(tokens) / UncorrectedEstimate(bytes),
+                 kMinRatio, kMaxRatio);
   this->ratio += kWeight * (measured - this->ratio);
 }
 
--- a/src/entry/internal/token_estimator.h
+++ b/src/entry/internal/token_estimator.h
@@ -5,14 +5,14 @@
 
 namespace acacialug::entry {
 
-// Guesses how many tokens a prompt has before any engine saw it: bytes / 4,
-// corrected by the ratio that the engines' own counts have shown. Not thread
+// Estimates the number of a prompt's tokens before an engine counts them:
+// bytes / 4, corrected by the ratio observed in the engines' counts. Not thread
 // safe.
 class TokenEstimator {
  public:
   std::uint64_t Estimate(std::uint64_t bytes) const;
 
-  // An engine counted `tokens` for a prompt of that many bytes.
+  // An engine counted `tokens` for a prompt of `bytes` bytes.
   void Learn(std::uint64_t bytes, std::uint64_t tokens);
 
  private:
--- a/src/entry/log_once.h
+++ b/src/entry/log_once.h
@@ -14,28 +14,31 @@
 
 namespace acacialug::entry {
 
-// At most once by tickets, and by claims on the platform's log: the first
-// claim in log order wins, on whichever entry it was made. A claim may move to
-// another home only from the position of its holder, after that home said that
-// it did not run the work and never will.
+// Ensures at most one run by tickets and by claims on the platform's log: the
+// first claim in log order wins, whichever entry made it. A claim may be
+// reassigned to another home only from the position of its holder, after that
+// home reported that it did not run the work and never will.
 class LogOnce : public IOnceCoordinator {
  public:
   struct Options {
     once::CoordinatorOptions claims;
-    // The log keeps claims, and the agents' ledgers keep keys, at least so
-    // long. Keys and tickets are taken for a shorter time: see KeyWindow.
+    // The log keeps claims, and the agents' ledgers keep keys, at least for
+    // this time. Keys and tickets are accepted for a shorter time: see
+    // KeyWindow.
     Duration log_retention = 24h;
     std::function<once::WallMilliseconds()> wall_clock;  // must be set
-    Duration retry_after = 1s;  // told while the log is out
+    Duration retry_after = 1s;  // sent to callers while the log is unavailable
   };
 
-  // By how much the clocks of callers and hosts may differ.
+  // Returns the largest accepted difference between the clocks of callers and
+  // hosts.
   static once::WallMilliseconds ClockSkew(Duration log_retention);
 
-  // How old a key or ticket may be. A key whose time lies ahead of the host
-  // that claims it, and which comes back at a host whose clock is behind, is
-  // known for twice the skew longer than it looks; were it taken for as long
-  // as its claim is kept, it would run a second time.
+  // Returns the maximum age of a key or ticket. A key may carry a time ahead of
+  // the clock of the host that claims it, and be submitted again at a host
+  // whose clock is behind. Its claim is then older than the key appears by up
+  // to twice the skew. If keys were accepted for as long as claims are kept,
+  // such a key would run a second time.
   static once::WallMilliseconds KeyWindow(Duration log_retention);
 
   // `random` outlives this.
@@ -53,7 +56,7 @@
 
  private:
   struct Pending {
-    once::ClaimToken token;  // of the claim that is waited for
+    once::ClaimToken token;  // of the claim that is pending
     once::WorkKey key;
     std::uint64_t fingerprint = 0;
     once::ClaimPosition holder;  // last known
@@ -73,7 +76,7 @@
   Options options;
   once::ClaimCoordinator claims;
   bool started = false;
-  std::optional<once::WallMilliseconds> wall_offset;  // to our own clock
+  std::optional<once::WallMilliseconds> wall_offset;  // to the monotonic clock
   std::uint64_t last_token = 0;
   std::map<RequestId, Pending> pending;
   std::map<once::ClaimToken, RequestId> requests;
--- a/src/entry/types/entry_messages.h
+++ b/src/entry/types/entry_messages.h
@@ -11,15 +11,15 @@
 
 namespace acacialug::entry {
 
-// ---- what the process tells the core ----
+// ---- input from the process ----
 
-// A caller's generation, parsed and checked by the HTTP face.
+// A caller's generation, parsed and checked by the HTTP server.
 struct GenerationArrived {
   RequestId request;
   CallerName caller;
-  std::string latency_class;  // empty: by caller or service
+  std::string latency_class;  // empty: the caller's or service's
   protocol::GenerationRequest generation;
-  std::string prompt_text;  // for prefix pieces and the token estimate
+  std::string prompt_text;  // for prefix blocks and the token estimate
   Duration deadline{};      // from the caller's header; zero: none
 };
 
@@ -30,7 +30,7 @@
   ServiceName service;
   protocol::ServiceRequest call;
   std::string idempotency_key;  // header Idempotency-Key; empty: none
-  std::string ticket;           // header of ours; empty: none
+  std::string ticket;           // header X-Ticket; empty: none
   Duration deadline{};
 };
 
@@ -40,7 +40,7 @@
   std::string payload;
 };
 
-// Numbers one append or read, so that its answer finds its way.
+// Identifies one append or read, so that its answer can be matched to it.
 using LogTicket = Number<struct LogTicketTag>;
 
 enum class AppendOutcome : std::uint8_t {
@@ -64,18 +64,18 @@
   LogTicket ticket;
   bool reachable = false;
   LogOffset first_kept;  // the oldest offset that the log still holds
-  LogOffset next;        // where the next record will stand
+  LogOffset next;        // the offset of the next record
   std::vector<LogRecord> records;
 };
 
-// ---- what the core asks of the process ----
+// ---- actions for the process ----
 
 struct SendToAgent {
   EndpointId endpoint;
   protocol::EntryToAgent message;
 };
 
-// Makes (or drops) the connection to an endpoint's agent.
+// These open and close the connection to an endpoint's agent.
 struct ConnectEndpoint {
   EndpointId endpoint;
 };
@@ -101,8 +101,8 @@
   bool replayed = false;
 };
 
-// The final answer of a request that did not complete. `outcome` kNotRun is
-// provable. `retry_after` zero: no advice.
+// The final answer of a request that did not complete. `outcome` is kNotRun
+// only when that is proven. A `retry_after` of zero means no advice.
 struct AnswerError {
   RequestId request;
   ResultCode code = ResultCode::kInternal;
@@ -114,7 +114,7 @@
   LogTicket ticket;
   std::string payload;
 };
-// `wait`: with no record there yet, the log may hold its answer that long.
+// While there is no record yet, the log may delay its answer by up to `wait`.
 struct ReadClaims {
   LogTicket ticket;
   LogOffset from;
--- a/src/entry/types/entry_options.h
+++ b/src/entry/types/entry_options.h
@@ -14,8 +14,8 @@
 
 namespace acacialug::entry {
 
-// How an endpoint is picked. kRandom, kRoundRobin and kLeastReported are the
-// baselines that the bench compares with.
+// How an endpoint is picked. kRandom, kRoundRobin and kLeastReported are
+// baselines for the benchmark.
 enum class PlacementPolicy : std::uint8_t {
   kPredicted,  // sampled endpoints, best predicted time
   kRandom,
@@ -29,7 +29,7 @@
     {PlacementPolicy::kLeastReported, "least_reported"},
 }};
 
-// Which of the waiting requests goes first when a place comes free.
+// Which waiting request is dispatched first when a slot becomes free.
 enum class QueueOrder : std::uint8_t { kArrival, kDeadline, kNewest };
 inline constexpr EnumNames<QueueOrder, 3> kQueueOrderNames = {{
     {QueueOrder::kArrival, "arrival"},
@@ -37,8 +37,8 @@
     {QueueOrder::kNewest, "newest"},
 }};
 
-// Safety rules that a test may switch off to show that the checker of the
-// scenarios catches their absence. Always true in the programs.
+// Safety rules that a test may switch off to show that the scenario checker
+// detects their absence. They are always on in the programs.
 struct EntryRules {
   bool check_attempts = true;  // drop frames of superseded attempts
   bool check_sequence = true;  // deliver each chunk once, in order
@@ -46,7 +46,7 @@
   bool reserve_before_prefill = true;
 };
 
-// Where a request stands, beside what the messages about it tell.
+// Progress of a request that its messages do not show.
 enum class Progress : std::uint8_t { kQueued, kDispatched, kEndpointLost };
 inline constexpr EnumNames<Progress, 3> kProgressNames = {{
     {Progress::kQueued, "queued"},
@@ -64,36 +64,38 @@
 struct EntryOptions {
   EntryId id;
   Incarnation incarnation;
-  // The process that this core is a shard of, and its start: its heartbeats
-  // renew the sessions of all its shards. Empty: the core stands alone.
+  // The process that this core is a shard of, and its incarnation. Heartbeats
+  // of the process renew the sessions of all its shards. An empty id means that
+  // the core belongs to no such process.
   EntryId process;
   Incarnation process_incarnation;
   FailureDomain domain;
   PlacementPolicy placement = PlacementPolicy::kPredicted;
   QueueOrder order = QueueOrder::kArrival;
-  // Must match the agents': kNone asks for a decode slot after the prefill.
+  // Must match the agents' policy. kNone requests a decode slot only after the
+  // prefill.
   agent::ReservationPolicy reservation = agent::ReservationPolicy::kHold;
   bool feasibility_counts_queue = true;
-  Duration renew_interval = 1s;  // of sessions; the byte budget stretches it
-  Duration reserve_timeout = 300ms;  // an agent that does not answer
+  Duration renew_interval = 1s;  // of sessions; the byte budget lengthens it
+  Duration reserve_timeout = 300ms;  // for the answer to a Reserve
   Duration stall_timeout = 5s;       // a stream or prefill without progress
   Duration default_deadline = 120s;
   double retry_share = 0.1;  // of recent successes
-  // Two full decode endpoints lost at once can be made good.
+  // Covers the simultaneous loss of two full decode endpoints.
   double retry_burst = 40;
   std::uint32_t max_attempts = 4;
   std::uint32_t window_chunks = 256;
-  std::uint32_t working_set = 64;         // endpoints connected to, a pool
-  std::uint32_t sampled = 3;              // endpoints weighed for a decode
-  std::uint32_t max_requests = 20000;     // alive at once, a shard
+  std::uint32_t working_set = 64;         // connected endpoints per pool
+  std::uint32_t sampled = 3;              // endpoints compared per decode
+  std::uint32_t max_requests = 20000;     // alive at once per shard
   Duration claim_commit_interval = 20ms;  // group commit of claims
-  std::uint32_t shards = 1;  // of this entry; each has a core of its own
+  std::uint32_t shards = 1;  // of this entry, each with its own core
   EntryRules rules;
-  // Makes what holds non-idempotent calls to one run; empty: without a log,
-  // by the agents' ledgers alone.
+  // Creates the coordinator that limits non-idempotent calls to one run. Empty:
+  // there is no log, and the agents' ledgers alone limit them.
   std::function<std::unique_ptr<IOnceCoordinator>(const EntryOptions&)>
       make_once;
-  // An observer, for traces; it must not call the core. Empty: none.
+  // Observes progress for traces; it must not call the core. Empty: none.
   std::function<void(const ProgressNote& note)> on_progress;
 };
 
