--- a/src/gateway_process/gateway_process.cc
+++ b/src/gateway_process/gateway_process.cc
@@ -18,20 +18,21 @@
 
 // A connection within a site opens in a few milliseconds.
 constexpr Duration kConnectTimeout = 500ms;
-// Idle connections to one endpoint, of this process: a burst's worth.
+// Idle connections of this process to one endpoint: enough for a burst.
 constexpr std::size_t kMaxIdleConnections = 24;
-// The balancer asks each second and needs two misses: until then it goes on
-// sending new connections.
-constexpr Duration kBalancerNotices = 2300ms;
-// Before the end by force, so that the log tells what was cut off.
-constexpr Duration kLastWords = 300ms;
+// The load balancer probes each second and needs two misses; until then it goes
+// on sending new connections.
+constexpr Duration kBalancerDetectionTime = 2300ms;
+// Before the forced end, so that the log says what was cut off.
+constexpr Duration kFinalLogMargin = 300ms;
 constexpr std::chrono::milliseconds kDrainCheckInterval{50};
 constexpr std::chrono::milliseconds kLogFlushInterval{100};
-constexpr Duration kOneTurn = 1ms;  // of the event loop, at least
-// Bounds of what is written to the log in a second, for each event: four times
-// what the planned rates give on a calm day.
-constexpr std::uint64_t kInfoLines = 200;
-constexpr std::uint64_t kWarningLines = 500;
+// Shortest timer that runs behind pending socket events.
+constexpr Duration kMinTimerDelay = 1ms;
+// Limits of log entries per second for each event: four times the number at the
+// planned rates without faults.
+constexpr std::uint64_t kInfoEntries = 200;
+constexpr std::uint64_t kWarningEntries = 500;
 constexpr std::size_t kCountedCustomers = 64;
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
@@ -56,9 +57,10 @@
                 .max_idle_connections = kMaxIdleConnections}),
         core(this->CoreOptions(), random),
         peers(this->PeerOptions(random)) {
-    this->alarm.setSingleShot(true);
-    this->alarm.setTimerType(Qt::PreciseTimer);
-    QObject::connect(&this->alarm, &QTimer::timeout, [this] { this->Ring(); });
+    this->core_timer.setSingleShot(true);
+    this->core_timer.setTimerType(Qt::PreciseTimer);
+    QObject::connect(&this->core_timer, &QTimer::timeout,
+                     [this] { this->FireDueTimers(); });
     QObject::connect(&this->flush, &QTimer::timeout, [] { log::Flush(); });
     QObject::connect(&this->drain_check, &QTimer::timeout,
                      [this] { this->CheckDrained(); });
@@ -82,9 +84,9 @@
 
   void SetConfiguration(std::shared_ptr<const gateway::Configuration> newest) {
     if (this->core.SetConfiguration(std::move(newest))) {
-      this->TellPositions();
+      this->ReportPositions();
     }
-    this->NoteReadiness();
+    this->LogReadiness();
   }
 
   LogOffset configuration_known() const {
@@ -94,12 +96,12 @@
                : LogOffset(configuration->offset.value + 1);
   }
 
-  template <typename News>
-  void Apply(const News& news) {
-    const bool changed = this->core.Apply(news);
-    this->TellPositions();
+  template <typename Update>
+  void Apply(const Update& update) {
+    const bool changed = this->core.Apply(update);
+    this->ReportPositions();
     if (changed) {
-      this->NoteReadiness();
+      this->LogReadiness();
     }
   }
 
@@ -274,7 +276,7 @@
             },
         .render_error =
             [this](int status, const Error& error) {
-              this->NoteBadRequest(status, error);
+              this->LogBadRequest(status, error);
               return http::Response{.status = status};
             }});
     this->readiness = this->MakePages(
@@ -331,7 +333,7 @@
             .body = metrics::PrometheusText(this->registry.Read())};
   }
 
-  void NoteBadRequest(int status, const Error& error) {
+  void LogBadRequest(int status, const Error& error) {
     log::WriteLimited(
         this->warning_limiter, MonotonicNow(), log::Level::kWarning,
         "request_unreadable",
@@ -339,7 +341,7 @@
          .fields = {{"status", status}, {"detail", error.detail}}});
   }
 
-  void NoteReadiness() {
+  void LogReadiness() {
     const bool ready = this->core.Ready();
     if (ready != this->was_ready) {
       this->was_ready = ready;
@@ -349,7 +351,7 @@
     }
   }
 
-  void TellPositions() {
+  void ReportPositions() {
     this->peers.SetPositions(
         {.configuration = this->configuration_known(),
          .changed_to = this->core.endpoints_changed_to(),
@@ -378,7 +380,8 @@
     }
   }
 
-  // Customers beyond a number are counted together: the labels are bounded.
+  // Customers beyond a maximum number are counted together, to bound the
+  // labels.
   void CountRefusal(ResultCode code, const gateway::Customer* customer) {
     std::string name;
     if (customer != nullptr) {
@@ -395,27 +398,30 @@
 
   void WakeAt(Instant at) {
     if (at != kNever) {
-      this->alarm.start(MillisecondsUntil(at));
+      this->core_timer.start(MillisecondsUntil(at));
     }
   }
 
-  // After a standstill the core rings nothing until it is called again. A timer
-  // of no time at all would run when no socket has anything left, which a busy
-  // process may never see; that of a millisecond runs behind the sockets.
-  void Ring() {
+  // After a stall the core fires no timer until it is called again. A timer
+  // with zero delay would run only when no socket has anything left, which a
+  // busy process may never reach; a timer of a millisecond runs behind the
+  // sockets.
+  void FireDueTimers() {
     this->core.OnTimer();
-    this->WakeAt(std::max(this->core.next_timer(), MonotonicNow() + kOneTurn));
+    this->WakeAt(
+        std::max(this->core.next_timer(), MonotonicNow() + kMinTimerDelay));
   }
 
   void CheckDrained() {
     const Duration since = MonotonicNow() - this->drain_begun;
-    if (since >= kBalancerNotices && !this->stopped_accepting) {
+    if (since >= kBalancerDetectionTime && !this->stopped_accepting) {
       this->stopped_accepting = true;
       this->callers->StopAccepting();
     }
     const bool whole =
         this->stopped_accepting && this->core.requests_under_way() == 0;
-    if (!whole && since < this->options.settings.drain_grace - kLastWords) {
+    if (!whole &&
+        since < this->options.settings.drain_grace - kFinalLogMargin) {
       return;
     }
     this->drain_check.stop();
@@ -428,9 +434,9 @@
 
   const Options options;
   metrics::Registry& registry;
-  log::RepeatLimiter info_limiter{{.lines_per_window = kInfoLines}};
-  log::RepeatLimiter warning_limiter{{.lines_per_window = kWarningLines}};
-  QTimer alarm;
+  log::RepeatLimiter info_limiter{{.lines_per_window = kInfoEntries}};
+  log::RepeatLimiter warning_limiter{{.lines_per_window = kWarningEntries}};
+  QTimer core_timer;
   QTimer flush;
   QTimer drain_check;
   http::Client client;
--- a/src/gateway_process/gateway_process.h
+++ b/src/gateway_process/gateway_process.h
@@ -18,10 +18,10 @@
 
 namespace acacialug::gateway_process {
 
-// A gateway: callers' port, readiness port, operations port, its peers, and
-// the core that decides. Where configuration and endpoints come from is the
-// owner's: it tells by the methods below. Lives on one thread with a running
-// Qt event loop; no method is thread safe.
+// A gateway: the callers' port, the readiness port, the operations port, the
+// link to its peers, and the core that decides. The owner supplies
+// configuration and endpoints by the methods below. Lives on one thread with a
+// running Qt event loop; no method is thread safe.
 class GatewayProcess {
  public:
   struct Options {
@@ -34,7 +34,7 @@
     // As gateway::GatewayHooks::on_quarantine; may be empty.
     std::function<void(const retry::CrashRecord& record)> on_quarantine;
     // Runs once after Drain, when every request has its answer, or when the
-    // grace is over (`whole` false: something was cut off).
+    // grace period has ended (`whole` false: a request was cut off).
     std::function<void(bool whole)> on_drained;
   };
 
@@ -47,30 +47,31 @@
   // Errors: kAddressInUse.
   Status Start();
 
-  // News from the store. Older news than what is known is ignored.
+  // Updates from the store. An update older than the known state is ignored.
   void SetConfiguration(std::shared_ptr<const gateway::Configuration> newest);
-  // Position behind the configuration in force; zero: there is none.
+  // Position behind the active configuration; zero: there is none.
   LogOffset configuration_known() const;
   void Apply(const gateway::EndpointChange& change);
   void Apply(const gateway::EndpointSnapshot& snapshot);
-  // The store serves this process, or stopped to.
+  // Sets whether the store serves this process.
   void SetStoreServes(bool serves);
 
-  // The store was read by this process, just now.
+  // This process has just read the store itself.
   void NoteStoreRead();
-  // Whether others read it, so that this process need not.
+  // Whether peers read the store, so that this process need not.
   bool PeersReadStore();
-  // Other gateways that are heard now.
+  // The number of live peers.
   std::size_t live_peers() const;
 
-  // A quarantined request that was kept.
+  // Sets a quarantined request that the store kept.
   void SetCrash(const retry::CrashRecord& kept);
 
-  // Where other gateways may be found, by their ids.
+  // Addresses of other gateways, by their ids.
   void SetMembers(const std::map<std::string, http::Address>& members);
 
-  // Leaves: not ready at once, new work refused after a while, and what runs
-  // goes on until the grace is over. Safe to repeat.
+  // Starts to leave: the process is not ready from now on, new work is refused
+  // after a while, and running requests go on until the grace period ends. Safe
+  // to repeat.
   void Drain();
 
  private:
--- a/src/gateway_process/internal/catalog_page.h
+++ b/src/gateway_process/internal/catalog_page.h
@@ -20,20 +20,20 @@
 
 inline constexpr std::string_view kCatalogPath = "/catalog";
 
-// The page as JSON, and how it is read. Errors: kMalformedJson. Thread safe.
+// Renders and parses the page as JSON. Errors: kMalformedJson. Thread safe.
 std::string RenderCatalog(const Catalog& catalog);
-// A configuration before the position `known` is left out, undecoded.
+// A configuration before the position `known` is left out and not decoded.
 Result<Catalog> ParseCatalog(std::string_view text, LogOffset known = {});
 
-// The page in two parts, for a configuration that is rendered once and handed
-// to many: it is the greater by far. An empty text stands for none.
+// The page in two parts, so that a configuration, by far the larger part, is
+// rendered once and sent to many peers. An empty text stands for none.
 std::string RenderConfiguration(const gateway::Configuration& configuration);
 std::string RenderCatalog(const gateway::EndpointSnapshot& endpoints,
                           std::string_view configuration_text);
 
-// The target of a request for the page, of a process that needs no
-// configuration before `known`; and what a target tells of that, zero if
-// nothing: a process of a program that did not tell it.
+// The target of a request for the page, from a process that needs no
+// configuration before `known`; and the position that a target carries, zero if
+// it carries none because the peer runs a program that does not send it.
 std::string CatalogTarget(LogOffset known);
 LogOffset KnownByTarget(std::string_view target);
 
--- a/src/gateway_process/internal/catalog_page_server.cc
+++ b/src/gateway_process/internal/catalog_page_server.cc
@@ -25,8 +25,8 @@
   return this->text;
 }
 
-// How long one takes is reckoned: what the operating system has taken may still
-// lie before the link.
+// The duration is computed, since bytes that the operating system has accepted
+// may not have reached the link yet.
 bool CatalogPageServer::Begin(std::size_t bytes, Instant now) {
   std::erase_if(this->ends, [now](Instant end) { return end <= now; });
   if (this->ends.size() >= kMaxConcurrent) {
--- a/src/gateway_process/internal/catalog_page_server.h
+++ b/src/gateway_process/internal/catalog_page_server.h
@@ -13,37 +13,38 @@
 
 namespace acacialug::gateway_process {
 
-// What is handed over to peers that ask for the catalog page. Not thread safe.
+// Serves the catalog page to peers. Not thread safe.
 class CatalogPageServer {
  public:
-  // So many configurations are under way at a time.
+  // Number of configurations being sent at a time.
   static constexpr std::size_t kMaxConcurrent = 2;
-  // And together take so much of this process's link: half of the thinnest
-  // that gateways have, 10 Mbit/s. With more of it, what the process asks of
-  // its endpoints meanwhile is late.
+  // Bandwidth that these configurations take together: half of the slowest link
+  // that gateways have, 10 Mbit/s. With more, this process's requests to its
+  // endpoints are delayed.
   static constexpr std::int64_t kBytesPerSecond = 625'000;
 
   // The page for a peer that needs no configuration before `known_to_peer`, a
-  // position as of PeerLink::Positions; zero: it needs whatever there is.
-  // Without the configuration when the peer need not have it, and when so many
-  // are under way that it has to ask elsewhere or later.
+  // position as in PeerLink::Positions; zero: it needs any configuration. The
+  // configuration is left out when the peer does not need it, and when the
+  // maximum number is being sent, so that the peer has to query another peer or
+  // try later.
   std::string PageFor(const Catalog& catalog,
                       LogOffset known_to_peer,
                       Instant now);
 
-  // Texts of configurations made so far.
+  // Number of configuration texts rendered.
   std::uint64_t renders() const { return this->render_count; }
 
  private:
-  // Made anew when there is another one: each peer asks, and rendering is a
-  // page's dearest part.
+  // Renders only when the configuration has changed: each peer requests it, and
+  // rendering is the most expensive part of a page.
   const std::string& TextOf(const gateway::Configuration& configuration);
-  // Whether one more may be handed over; if so, it is under way from now on.
+  // Whether another configuration may be sent; if so, it counts as being sent.
   bool Begin(std::size_t bytes, Instant now);
 
   std::string text;
   std::optional<LogOffset> text_of;
-  std::vector<Instant> ends;  // of those under way
+  std::vector<Instant> ends;  // When the transfers being sent end.
   std::uint64_t render_count = 0;
 };
 
--- a/src/gateway_process/internal/catalog_sources.cc
+++ b/src/gateway_process/internal/catalog_sources.cc
@@ -8,23 +8,24 @@
 namespace acacialug::gateway_process {
 namespace {
 
-// One that died is believed to live for so long.
-constexpr Duration kPassedOver = 2s;
+// A peer that died is taken for live for this long.
+constexpr Duration kFailedPeerPause = 2s;
 // While the store serves this process, a newer configuration is left to it for
-// this long: its link is wide, a gateway's is not, and one page for each peer
-// went over the link of one. A store that works has brought it by then, also to
-// a process that reads only when it is told (200 ms) and has a twelfth of a
-// core to decode it (0.1 s); and then there is time left for two peers.
-constexpr Duration kStoreFirst = 500ms;
-// A peer that hands its configuration to others now is asked for it after this.
-constexpr Duration kTurnedAwayPause = 250ms;
-
-// What a peer can hand over that this process does not know, greater for a
-// better peer. Of those that offer the same each process asks another: all
-// would ask the first, and choke its link.
+// this long: its link is wider than a gateway's, and one page for each peer
+// went through the link of one gateway. A working store has delivered it by
+// then, also to a process that reads only after a report (200 ms) and has a
+// twelfth of a core to decode it (0.1 s); the rest of the time suffices to
+// query two peers.
+constexpr Duration kStoreGracePeriod = 500ms;
+// Delay before a peer that is busy sending its configuration is queried again.
+constexpr Duration kBusyPeerPause = 250ms;
+
+// What a peer can deliver that this process does not know, greater for a better
+// peer. Among peers that offer the same, each process queries another one: all
+// would query the first and saturate its link.
 struct Offer {
-  LogOffset configuration;  // zero: none that is to be asked for
-  LogOffset endpoints;      // zero: none
+  LogOffset configuration;  // Zero: none is to be requested.
+  LogOffset endpoints;      // Zero: none.
   std::uint64_t weight = 0;
 
   bool empty() const {
@@ -87,12 +88,13 @@
          peer.positions.endpoints > this->known.endpoints;
 }
 
-// Not left to the store by a process that has none, and serves nobody until it
-// has; nor for longer than kStoreFirst, since the store's calls may hang.
+// A process without a configuration does not leave it to the store, since it
+// serves no request until it has one. Other processes leave it to the store for
+// kStoreGracePeriod at most, since the store's calls may hang.
 bool CatalogSources::NeedsConfiguration(Instant now) const {
   return this->behind_since &&
          (!this->store_serves || this->known.configuration == LogOffset() ||
-          now - *this->behind_since >= kStoreFirst);
+          now - *this->behind_since >= kStoreGracePeriod);
 }
 
 bool CatalogSources::AnyKnowsMore(Instant now) const {
@@ -132,7 +134,7 @@
   }
   return CatalogRequest{
       .peer = best->first,
-      // What the store is to bring is told as known.
+      // A configuration that the store is to bring is reported as known.
       .known_configuration = needs_configuration ? this->known.configuration
                                                  : this->NewestConfiguration(),
       .configuration = best->second.positions.configuration,
@@ -141,24 +143,25 @@
 
 void CatalogSources::NoteFailed(const CatalogRequest& catalog_request,
                                 Instant now) {
-  this->peers[catalog_request.peer].skipped_until = now + kPassedOver;
+  this->peers[catalog_request.peer].skipped_until = now + kFailedPeerPause;
 }
 
-// What the peer did not hand over is asked of others meanwhile, and the rest of
-// it: neither is a failure.
+// What the peer did not deliver is requested from other peers meanwhile, and
+// the rest from this peer; neither is a failure.
 void CatalogSources::NoteAnswered(const CatalogRequest& catalog_request,
                                   bool configured,
                                   Instant now) {
   Peer& peer = this->peers[catalog_request.peer];
   if (!configured &&
       catalog_request.configuration > catalog_request.known_configuration) {
-    peer.busy_until = now + kTurnedAwayPause;
+    peer.busy_until = now + kBusyPeerPause;
   }
-  // A peer that waits for lapsed records tells of changes that its catalog
-  // leaves open. Asked again and again, being the best of those that know as
-  // much, it would keep others' settled knowledge from this process.
+  // A peer that waits for lapsed records reports changes that its catalog
+  // leaves open. If it were queried repeatedly as the best of the peers that
+  // know equally much, it would keep this process from the settled knowledge of
+  // the others.
   if (catalog_request.endpoints > this->known.endpoints) {
-    peer.open_until = now + kPassedOver;
+    peer.open_until = now + kFailedPeerPause;
   }
 }
 
--- a/src/gateway_process/internal/catalog_sources.h
+++ b/src/gateway_process/internal/catalog_sources.h
@@ -11,47 +11,48 @@
 
 namespace acacialug::gateway_process {
 
-// How far somebody knows, each behind the last: zero is nothing.
+// The positions up to which a process knows, each behind the last record; zero:
+// nothing.
 struct CatalogPositions {
   LogOffset configuration;
   LogOffset endpoints;
 };
 
-// Whom to ask for the catalog page, and how far it knew by its own word.
+// The peer to request the catalog page from, and the positions it reported.
 struct CatalogRequest {
   std::string peer;
-  LogOffset known_configuration;  // to be told to it
+  LogOffset known_configuration;  // Sent to the peer.
   LogOffset configuration;
   LogOffset endpoints;
 };
 
-// Which peer, if any, to ask for what this process does not know. Has no
-// socket, thread or clock. Not thread safe.
+// Chooses the peer, if any, to query for what this process does not know. Has
+// no socket, thread or clock. Not thread safe.
 class CatalogSources {
  public:
   explicit CatalogSources(const std::string& own_id);
 
-  // What this process knows, by now.
+  // What this process knows at `now`.
   void SetKnown(const CatalogPositions& newest, Instant now);
-  // Whether the store answers this process' calls; at first it does not.
+  // Whether the store answers this process's calls; initially it does not.
   void SetStoreServes(bool serves) { this->store_serves = serves; }
 
-  // A peer told how far it knows, or is not heard any more.
+  // A peer reported its positions, or is no longer live.
   void OnReport(const std::string& peer,
                 const CatalogPositions& positions,
                 Instant now);
   void NoteLost(const std::string& peer);
 
-  // A peer that can be asked knows what this process does not, whoever is to
-  // bring it.
+  // Whether a peer that can be queried knows what this process does not, from
+  // whichever source it is to come.
   bool AnyKnowsMore(Instant now) const;
-  // Empty: nobody is to be asked now.
+  // Empty: no peer is to be queried now.
   std::optional<CatalogRequest> Next(Instant now) const;
 
-  // It did not answer as a peer does.
+  // The peer did not answer as a peer does.
   void NoteFailed(const CatalogRequest& catalog_request, Instant now);
-  // It answered, and what it knows by now was taken (SetKnown); `configured`:
-  // a configuration was in it.
+  // The peer answered, and its page was applied (SetKnown); `configured`: the
+  // page contained a configuration.
   void NoteAnswered(const CatalogRequest& catalog_request,
                     bool configured,
                     Instant now);
@@ -60,14 +61,14 @@
   struct Peer {
     CatalogPositions positions;
     bool reported = false;
-    Instant skipped_until{};  // it did not answer as a peer does
-    Instant open_until{};     // its endpoints leave open what it tells of
-    Instant busy_until{};     // it handed its configuration to others
+    Instant skipped_until{};  // It did not answer as a peer does.
+    Instant open_until{};     // Its endpoints leave open what it reports.
+    Instant busy_until{};     // It sends its configuration to other peers.
   };
 
   bool HasNewerConfiguration(const Peer& peer, Instant now) const;
   bool HasNewerEndpoints(const Peer& peer, Instant now) const;
-  // The newest that this process knows, or a peer tells of.
+  // The newest position that this process knows or a peer reports.
   LogOffset NewestConfiguration() const;
   void UpdateBehindSince(Instant now);
   // Whether a newer configuration is to come from a peer.
@@ -76,7 +77,7 @@
   const std::uint64_t own_hash;
   std::map<std::string, Peer> peers;
   CatalogPositions known;
-  // Since when a peer has told of a newer configuration than the one known.
+  // Since when a peer has reported a newer configuration than the known one.
   std::optional<Instant> behind_since;
   bool store_serves = false;
 };
--- a/src/gateway_process/internal/heartbeat_rows.cc
+++ b/src/gateway_process/internal/heartbeat_rows.cc
@@ -7,7 +7,7 @@
 namespace acacialug::gateway_process {
 namespace {
 
-// The sender's clock may have stood still, so that a duration is any size.
+// The sender's clock may have stopped, so a duration may have any size.
 std::uint32_t MillisecondsOf(Duration duration) {
   const std::int64_t whole =
       std::chrono::floor<std::chrono::milliseconds>(duration).count();
--- a/src/gateway_process/internal/heartbeat_rows.h
+++ b/src/gateway_process/internal/heartbeat_rows.h
@@ -11,7 +11,8 @@
 
 namespace acacialug::gateway_process {
 
-// What a heartbeat tells, in the words of whoever decides by it. Thread safe.
+// Converts heartbeat rows to and from the types of the modules that use them.
+// Thread safe.
 
 protocol::PeerHeartbeat::Crash CrashRow(const retry::CrashRecord& record);
 retry::CrashRecord CrashFromRow(const protocol::PeerHeartbeat::Crash& report);
@@ -23,11 +24,11 @@
 
 protocol::PeerHeartbeat::Forecast ForecastRow(
     const forecast::ForecastReport& report);
-// Figures that this process does not know are a newer peer's.
+// Figures that this process does not know come from a newer peer.
 forecast::ForecastReport ForecastFromRow(
     const protocol::PeerHeartbeat::Forecast& row);
 
-// `near`: the sender is of the reader's failure domain.
+// `near`: the sender is in the reader's failure domain.
 gateway::PeerLoad LoadFromHeartbeat(const protocol::PeerHeartbeat& heartbeat,
                                     bool near);
 
--- a/src/gateway_process/internal/peer_link.cc
+++ b/src/gateway_process/internal/peer_link.cc
@@ -20,29 +20,29 @@
 namespace acacialug::gateway_process {
 namespace {
 
-// Without a change peers hear this often that a process lives. A third of the
-// time for which its load is remembered.
+// Without a change, a heartbeat is sent at this interval to show that the
+// process is live. It is a third of the time for which its load is remembered.
 constexpr Duration kKeepAlive = 400ms;
-// A peer that was not heard for this long is not counted as one.
+// A peer without a heartbeat for this long is not counted as live.
 constexpr Duration kPeerMemory = 2s;
-// One that was heard in this time still takes its part of what all share: a
-// process that is cut off from the others must not take theirs.
+// A peer received from within this time still takes its part of what all peers
+// share: a process that is cut off from the others must not take their parts.
 constexpr Duration kKnownMemory = 60s;
-// One that was never heard, or not for long, is tried this often.
+// A peer that was never live, or is no longer, is tried at this interval.
 constexpr Duration kRetryInterval = 2s;
-// A peer that has not answered in this time has gone silent.
-constexpr Duration kFetchSilence = 700ms;
+// A peer that has not answered within this time is unresponsive.
+constexpr Duration kFetchTimeout = 700ms;
 constexpr Duration kFetchInterval = 250ms;
 constexpr std::size_t kMaxCatalogBytes = std::size_t{16} * 1024 * 1024;
-// Processes that read the store in any case: one may be cut off or frozen
-// without a sign, and the other is heard meanwhile.
+// Number of processes that always read the store: one may be cut off or frozen
+// without a sign, and the other still reports meanwhile.
 constexpr std::size_t kReaders = 2;
-// A read that is older, or a peer that was not heard for so long, does not
-// spare one's own: a configuration must be in force within two seconds.
+// An older read, or a peer without a heartbeat for longer, does not spare this
+// process its own read: a configuration must be active within two seconds.
 constexpr Duration kFreshRead = 800ms;
 constexpr Duration kReaderMemory = 900ms;
 constexpr std::int64_t kNeverReadMs = 1'000'000;
-// Between two forecasts to the peers: a keep-alive's time.
+// Between two forecasts to the peers: the keep-alive interval.
 constexpr Duration kForecastInterval = kKeepAlive;
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
@@ -51,14 +51,15 @@
   return std::chrono::ceil<std::chrono::milliseconds>(duration);
 }
 
-// Peers that are told together.
+// Peers that are sent the same heartbeat.
 struct Group {
-  std::size_t number = 0;  // one that no other group has
+  std::size_t number = 0;  // Unique among the groups.
   QTimer change{};
-  Instant last_told{};
-  Instant forecast_told_at{};
-  std::size_t next_pause = 0;  // the first of those in the next heartbeat
-  std::size_t rounds = 0;      // of crashes that were told
+  Instant last_sent_at{};
+  Instant forecast_sent_at{};
+  // Index of the first pause in the next heartbeat.
+  std::size_t next_pause = 0;
+  std::size_t rounds = 0;  // Number of heartbeats with crash reports.
 };
 
 struct Peer {
@@ -67,7 +68,7 @@
   std::uint64_t sequence = 0;
   std::uint16_t pages_port = 0;
   Instant last_received_at{};
-  Instant told_at{};
+  Instant sent_at{};
   Instant read_at{};
   bool reported = false;
   bool near = false;  // of this process's failure domain
@@ -86,8 +87,8 @@
                  [this](std::string_view datagram, const http::Address& from) {
                    this->OnDatagram(datagram, from);
                  }}),
-        client({.connect_timeout = kFetchSilence,
-                .silence_timeout = kFetchSilence,
+        client({.connect_timeout = kFetchTimeout,
+                .silence_timeout = kFetchTimeout,
                 .max_body_bytes = kMaxCatalogBytes}),
         pages(std::make_unique<http::Server>(http::ServerOptions{
             .listen = this->options.listen,
@@ -96,7 +97,7 @@
                 [this](int /*shard*/) {
                   return [this](const http::Request& request,
                                 const http::ResponderPtr& responder) {
-                    this->ShowPage(request, *responder);
+                    this->ServePage(request, *responder);
                   };
                 },
             .render_error =
@@ -109,7 +110,7 @@
       QTimer& change = this->GroupOf(near).change;
       change.setSingleShot(true);
       QObject::connect(&change, &QTimer::timeout,
-                       [this, near] { this->Tell(near); });
+                       [this, near] { this->SendHeartbeat(near); });
     }
   }
 
@@ -135,14 +136,14 @@
         peer.address = address;
       }
     }
-    this->TellAll();
+    this->SendHeartbeats();
   }
 
   void OnLoadChanged() {
     for (const bool near : {true, false}) {
       Group& group = this->GroupOf(near);
       if (!group.change.isActive()) {
-        const Duration since = this->options.now() - group.last_told;
+        const Duration since = this->options.now() - group.last_sent_at;
         group.change.start(Milliseconds(
             std::max(Duration::zero(), this->Interval(near) - since)));
       }
@@ -151,21 +152,21 @@
 
   void ReportPauses() {
     const std::size_t pauses = this->options.own_pauses().size();
-    for (std::size_t told = 0; told < pauses;
-         told += protocol::kMaxPeerHeartbeatPauses) {
-      this->TellAll();
+    for (std::size_t sent = 0; sent < pauses;
+         sent += protocol::kMaxPeerHeartbeatPauses) {
+      this->SendHeartbeats();
     }
   }
 
   void SetPositions(const Positions& newest) {
-    const bool news = newest.configuration > this->known.configuration ||
-                      newest.changed_to > this->known.changed_to;
+    const bool advanced = newest.configuration > this->known.configuration ||
+                          newest.changed_to > this->known.changed_to;
     this->known = newest;
     this->sources.SetKnown({.configuration = newest.configuration,
                             .endpoints = newest.complete_to},
                            this->options.now());
-    if (news) {
-      this->TellAll();
+    if (advanced) {
+      this->SendHeartbeats();
     }
   }
 
@@ -176,12 +177,13 @@
   bool PeersReadStore() {
     this->socket.ReadPending();
     const Instant now = this->options.now();
-    // What a peer knows and has not handed over yet is read here as well: it
-    // may be gone, or out of reach, before it does.
+    // This process also reads the store for what a peer knows and has not
+    // delivered yet: that peer may die or become unreachable before it
+    // delivers.
     if (this->sources.AnyKnowsMore(now)) {
       return false;
     }
-    // What a peer read is told by its next heartbeat.
+    // A peer's read is reported by its next heartbeat.
     const Duration round = this->Interval(false);
     std::size_t readers_before = 0;
     bool fresh = false;
@@ -209,23 +211,24 @@
     return gateway::RoundInterval(all, near ? neighbours : all - neighbours);
   }
 
-  void TellAll() {
-    this->Tell(true);
-    this->Tell(false);
+  void SendHeartbeats() {
+    this->SendHeartbeat(true);
+    this->SendHeartbeat(false);
   }
 
-  void Tell(bool near) {
+  void SendHeartbeat(bool near) {
     Group& group = this->GroupOf(near);
-    group.last_told = this->options.now();
+    group.last_sent_at = this->options.now();
     const std::string datagram = this->MakeHeartbeat(group);
     for (auto& [id, peer] : this->peers) {
       if (peer.near != near) {
         continue;
       }
-      const bool lives = peer.reported &&
-                         group.last_told - peer.last_received_at < kPeerMemory;
-      if (lives || group.last_told - peer.told_at >= kRetryInterval) {
-        peer.told_at = group.last_told;
+      const bool live =
+          peer.reported &&
+          group.last_sent_at - peer.last_received_at < kPeerMemory;
+      if (live || group.last_sent_at - peer.sent_at >= kRetryInterval) {
+        peer.sent_at = group.last_sent_at;
         this->socket.Send(datagram, peer.address);
       }
     }
@@ -250,14 +253,14 @@
     return protocol::Encode(heartbeat);
   }
 
-  // They go before loads: a request that ends endpoints goes on ending them
+  // Crashes go before loads: a request that ends endpoints goes on ending them
   // until every process knows it.
   void AddCrashes(protocol::PeerHeartbeat& heartbeat, Group& group) {
-    const std::vector<retry::CrashRecord> told =
+    const std::vector<retry::CrashRecord> reports =
         this->options.collect_crash_reports(protocol::kMaxPeerHeartbeatCrashes,
                                             group.rounds);
-    group.rounds += told.empty() ? 0 : 1;
-    for (const retry::CrashRecord& record : told) {
+    group.rounds += reports.empty() ? 0 : 1;
+    for (const retry::CrashRecord& record : reports) {
       heartbeat.crashes.push_back(CrashRow(record));
     }
   }
@@ -268,7 +271,7 @@
         protocol::kRowsPerCrash * heartbeat.crashes.size();
     gateway::PeerLoad load = this->options.own_load();
     if (load.rows.size() > max_count) {
-      // The largest loads matter most; the rest is told by placing elsewhere.
+      // The largest loads matter most; the peers find the rest by refusals.
       std::partial_sort(
           load.rows.begin(),
           load.rows.begin() + static_cast<std::ptrdiff_t>(max_count),
@@ -286,14 +289,14 @@
     }
   }
 
-  // With more than one heartbeat holds each tells the next ones: what was never
-  // told is found out by a refusal at each peer.
+  // If one heartbeat cannot hold all pauses, each carries the next ones: a
+  // pause that is never sent is found out by a refusal at each peer.
   void AddPauses(protocol::PeerHeartbeat& heartbeat, Group& group) {
     const std::vector<gateway::EndpointPause> pauses =
         this->options.own_pauses();
-    const std::size_t told =
+    const std::size_t count =
         std::min(pauses.size(), protocol::kMaxPeerHeartbeatPauses);
-    for (std::size_t number = 0; number < told; ++number) {
+    for (std::size_t number = 0; number < count; ++number) {
       const gateway::EndpointPause& pause =
           pauses[(group.next_pause + number) % pauses.size()];
       heartbeat.pauses.push_back(
@@ -304,22 +307,22 @@
            .unreachable = pause.reason == gateway::PauseReason::kUnreachable});
     }
     group.next_pause =
-        pauses.empty() ? 0 : (group.next_pause + told) % pauses.size();
+        pauses.empty() ? 0 : (group.next_pause + count) % pauses.size();
   }
 
-  // Not with each heartbeat: under load there are fifty a second, and what is
-  // learned changes by the minute.
+  // Not in each heartbeat: under load there are fifty a second, and forecasts
+  // change by the minute.
   void AddForecast(protocol::PeerHeartbeat& heartbeat, Group& group) {
     const Instant now = this->options.now();
-    if (now - group.forecast_told_at < kForecastInterval) {
+    if (now - group.forecast_sent_at < kForecastInterval) {
       return;
     }
-    const auto told = this->options.next_forecast();
-    if (!told) {
+    const auto report = this->options.next_forecast();
+    if (!report) {
       return;
     }
-    group.forecast_told_at = now;
-    heartbeat.forecasts.push_back(ForecastRow(*told));
+    group.forecast_sent_at = now;
+    heartbeat.forecasts.push_back(ForecastRow(*report));
   }
 
   std::uint32_t ReadAge() const {
@@ -346,7 +349,7 @@
     const bool newcomer = !this->peers.contains(heartbeat->sender) ||
                           !this->peers[heartbeat->sender].reported;
     Peer& peer = this->peers[heartbeat->sender];
-    // Datagrams overtake each other; an old one must not undo a newer.
+    // Datagrams may arrive out of order; an old one must not undo a newer one.
     if (peer.reported && peer.incarnation == heartbeat->incarnation &&
         heartbeat->sequence <= peer.sequence) {
       return;
@@ -371,11 +374,12 @@
            .reason = pause.unreachable ? gateway::PauseReason::kUnreachable
                                        : gateway::PauseReason::kRoleChange});
     }
-    for (const protocol::PeerHeartbeat::Forecast& told : heartbeat->forecasts) {
-      this->options.on_forecast(heartbeat->sender, ForecastFromRow(told));
+    for (const protocol::PeerHeartbeat::Forecast& report :
+         heartbeat->forecasts) {
+      this->options.on_forecast(heartbeat->sender, ForecastFromRow(report));
     }
-    for (const protocol::PeerHeartbeat::Crash& told : heartbeat->crashes) {
-      this->options.on_crash(CrashFromRow(told));
+    for (const protocol::PeerHeartbeat::Crash& report : heartbeat->crashes) {
+      this->options.on_crash(CrashFromRow(report));
     }
     this->options.on_heartbeat(heartbeat->sender, heartbeat->incarnation,
                                QuotasFromRows(heartbeat->quotas));
@@ -387,24 +391,24 @@
                            peer.last_received_at);
     if (newcomer) {
       this->options.on_new_peer();
-      this->TellAll();
-      // Not from here: what the others sent may lie behind this datagram.
+      this->SendHeartbeats();
+      // Deferred, since other peers' datagrams may be queued behind this one.
       QTimer::singleShot(0, &this->keep_alive, [this] { this->OnKeepAlive(); });
     }
     this->FetchIfBehind();
   }
 
-  // After this process stood still the timer may run before what came meanwhile
-  // is read: all peers would be lost at once (`peer_lost`), none of which was
-  // silent, and this process would take their share upon itself.
+  // After a stall of this process the timer may fire before the datagrams
+  // received meanwhile are read: all peers would be lost at once (`peer_lost`)
+  // though all had kept sending, and this process would take over their share.
   void OnKeepAlive() {
     if (this->socket.ReadPending()) {
       this->CountPeers();
     }
     for (const bool near : {true, false}) {
-      if (this->options.now() - this->GroupOf(near).last_told >=
+      if (this->options.now() - this->GroupOf(near).last_sent_at >=
           std::max(kKeepAlive, this->Interval(near))) {
-        this->Tell(near);
+        this->SendHeartbeat(near);
       }
     }
     this->FetchIfBehind();
@@ -416,21 +420,21 @@
     std::size_t known = 0;
     bool first = true;
     for (auto& [id, peer] : this->peers) {
-      const bool lives =
+      const bool live =
           peer.reported && now - peer.last_received_at < kPeerMemory;
-      if (peer.reported && !lives) {
+      if (peer.reported && !live) {
         peer.reported = false;
         this->sources.NoteLost(id);
         log::Warning("peer_lost",
                      {.fields = {{"peer", id},
                                  {"silent_ms", now - peer.last_received_at}}});
       }
-      alive += lives ? 1 : 0;
+      alive += live ? 1 : 0;
       known += peer.last_received_at != Instant{} &&
                        now - peer.last_received_at < kKnownMemory
                    ? 1
                    : 0;
-      first = first && !(lives && id < this->options.id);
+      first = first && !(live && id < this->options.id);
     }
     this->options.on_peer_count(alive, known, first);
   }
@@ -469,13 +473,13 @@
                    "peer_catalog_failed",
                    {.code = error.result_code(),
                     .fields = {{"from", from}, {"detail", error.detail}}});
-               this->AskNext(catalog_request);
+               this->TryNextPeer(catalog_request);
              }});
   }
 
-  // The next best is asked meanwhile: one that died is believed to live for
-  // two seconds, and all would wait for it.
-  void AskNext(const CatalogRequest& failed) {
+  // Queries the next best peer meanwhile: a peer that died is taken for live
+  // for two seconds, and all processes would wait for it.
+  void TryNextPeer(const CatalogRequest& failed) {
     this->sources.NoteFailed(failed, this->options.now());
     this->FetchIfBehind();
   }
@@ -490,7 +494,7 @@
           "peer_catalog_bad",
           {.code = catalog.error().result_code(),
            .fields = {{"from", from}, {"detail", catalog.error().detail}}});
-      this->AskNext(catalog_request);
+      this->TryNextPeer(catalog_request);
       return;
     }
     const bool configured = catalog->configuration != nullptr;
@@ -505,7 +509,7 @@
     this->FetchIfBehind();
   }
 
-  void ShowPage(const http::Request& request, http::Responder& responder) {
+  void ServePage(const http::Request& request, http::Responder& responder) {
     if (request.method != "GET" || request.Path() != kCatalogPath) {
       responder.SendWhole({.status = kNotFound});
       return;
@@ -513,9 +517,9 @@
     responder.SendWhole(
         {.status = kOk,
          .headers = {{"Content-Type", "application/json"}},
-         .body = this->handout.PageFor(this->options.own_catalog(),
-                                       KnownByTarget(request.target),
-                                       this->options.now())});
+         .body = this->page_server.PageFor(this->options.own_catalog(),
+                                           KnownByTarget(request.target),
+                                           this->options.now())});
   }
 
   const Options options;
@@ -528,7 +532,7 @@
   Group near_group{.number = 0};
   Group far_group{.number = 1};
   std::map<std::string, Peer> peers;
-  CatalogPageServer handout;
+  CatalogPageServer page_server;
   log::RepeatLimiter limiter{{}};
   Positions known;
   std::uint64_t sequence = 0;
--- a/src/gateway_process/internal/settings_reader.cc
+++ b/src/gateway_process/internal/settings_reader.cc
@@ -5,8 +5,8 @@
 namespace acacialug::gateway_process {
 namespace {
 
-// Beyond any fleet's; a mistyped exponent is told.
-constexpr double kMostRepeats = 1e9;
+// More than any fleet needs; a mistyped exponent is reported.
+constexpr double kMaxRepeats = 1e9;
 constexpr double kMostSpare = 1e12;
 
 settings::ParsedRule<http::Address> AddressRule() {
@@ -38,7 +38,7 @@
   // allowance renders fractions.
   into.repeat_extra = table.Number(
       "extra",
-      {.fallback = into.repeat_extra, .minimum = 0, .maximum = kMostRepeats});
+      {.fallback = into.repeat_extra, .minimum = 0, .maximum = kMaxRepeats});
   into.repeat_window = table.Duration(
       "window",
       {.fallback = into.repeat_window, .minimum = 100ms, .maximum = 24h});
@@ -82,7 +82,7 @@
       {.fallback = into.return_share, .minimum = 0.01, .maximum = 1});
 }
 
-// No more endpoints than a heartbeat tells of one request.
+// Allows no more endpoints than a heartbeat reports for one request.
 void ReadQuarantine(const settings::Table& table,
                     retry::CrashLedger::Options& into) {
   into.limit = static_cast<std::size_t>(table.Integer(
--- a/src/gateway_process/peer_link.h
+++ b/src/gateway_process/peer_link.h
@@ -20,10 +20,10 @@
 
 namespace acacialug::gateway_process {
 
-// Tells the other gateways what this one has placed, and hears the same from
-// them, by datagrams; and gets configuration and endpoints from them while the
-// store does not serve this process. A peer need only know one address of a
-// newcomer's to be known to it, since each answers whoever it hears.
+// Exchanges placed load with the other gateways by datagrams, and fetches
+// configuration and endpoints from them while the store does not serve this
+// process. A new process needs only one peer's address: each peer answers every
+// process that it receives a heartbeat from, and so becomes known to it.
 //
 // Lives on one thread with a Qt event loop; not thread safe.
 class PeerLink {
@@ -36,28 +36,31 @@
     http::Address listen;
     std::function<gateway::PeerLoad()> own_load;
     std::function<Catalog()> own_catalog;
-    // Endpoints that this process took out for a while, for the peers.
+    // Endpoints that this process paused; sent to the peers.
     std::function<std::vector<gateway::EndpointPause>()> own_pauses;
     std::function<void(const gateway::EndpointPause& pause)> on_pause;
     std::function<void(const std::string& peer, const gateway::PeerLoad& load)>
         on_load;
-    // What this process learned of one service's engines, each time of another;
-    // empty: of none. And what a peer did.
+    // `next_forecast` returns what this process learned of one service's
+    // engines, each time of another service; empty if it learned nothing.
+    // `on_forecast` receives a peer's report.
     std::function<std::optional<forecast::ForecastReport>()> next_forecast;
     std::function<void(const std::string& peer,
                        const forecast::ForecastReport& report)>
         on_forecast;
-    // Requests under which endpoints ended: those for a heartbeat, of which
-    // the `round`-th is sent; what a peer told; and that a peer is heard that
-    // may know none.
+    // Requests under which endpoints ended: `collect_crash_reports` returns
+    // those for the `round`-th heartbeat, `on_crash` receives a peer's report,
+    // and `on_new_peer` runs when a peer becomes live that may know no such
+    // request.
     std::function<std::vector<retry::CrashRecord>(std::size_t max_count,
                                                   std::size_t round)>
         collect_crash_reports;
     std::function<void(const retry::CrashRecord& report)> on_crash;
     std::function<void()> on_new_peer;
-    // Customers' quotas: what the peers of a group should hear of what this
-    // process took; that a peer was heard, with what it told; and that one is
-    // said to be there.
+    // Customers' quotas: `collect_quota_reports` returns the usage of this
+    // process to report to the peers of a group, `on_heartbeat` receives a
+    // peer's report with each heartbeat, and `on_listed` runs for each peer
+    // that is listed as a member.
     std::function<std::vector<quota::QuotaUse>(std::size_t group,
                                                std::size_t max_count)>
         collect_quota_reports;
@@ -66,8 +69,9 @@
                        const std::vector<quota::QuotaUse>& report)>
         on_heartbeat;
     std::function<void(const std::string& peer)> on_listed;
-    // How many peers are heard, how many there were lately, heard or not, and
-    // whether this process's id is the first of those heard.
+    // The number of live peers, the number of peers received from recently,
+    // live or not, and whether this process's id sorts before all live peers'
+    // ids.
     std::function<void(std::size_t live, std::size_t known, bool first)>
         on_peer_count;
     std::function<void(const Catalog& catalog)> on_catalog;
@@ -80,36 +84,36 @@
   // Errors: kAddressInUse.
   Status Start();
 
-  // Where peers may be found; those that were heard stay known beside them.
+  // Addresses of peers. Peers that sent a heartbeat stay known as well.
   void SetMembers(const std::map<std::string, http::Address>& members);
 
-  // The own load changed: told soon.
+  // The load of this process changed; it is sent with the next heartbeat.
   void OnLoadChanged();
 
-  // All pauses are told at once, in as many heartbeats as they need.
+  // Sends all pauses at once, in as many heartbeats as they need.
   void ReportPauses();
 
   struct Positions {
-    LogOffset configuration;  // of the one in force plus one; zero: none
-    LogOffset changed_to;     // behind the last change of an endpoint
-    LogOffset complete_to;    // all changes of endpoints before it are known
+    LogOffset configuration;  // Of the active one plus one; zero: none.
+    LogOffset changed_to;     // Behind the last change of an endpoint.
+    LogOffset complete_to;    // All changes of endpoints before it are known.
   };
 
-  // How far this process knows configuration and endpoints.
+  // Sets the positions up to which this process knows configuration and
+  // endpoints.
   void SetPositions(const Positions& positions);
 
-  // The store serves this process, or stopped to; before the first call it
-  // does not.
+  // Sets whether the store serves this process; initially it does not.
   void SetStoreServes(bool serves);
 
-  // This process read the store itself, just now.
+  // This process has just read the store itself.
   void NoteStoreRead();
 
-  // Whether enough others read the store: then what they learn comes from
-  // them, and this process need not ask. Each read costs the same for 5
-  // processes and for 750, so that only a few do it; whoever hears of no
-  // recent read does it itself.
-  // What peers sent and was not read yet counts. Not from a hook.
+  // Whether enough peers read the store, so that their updates reach this
+  // process and it need not read. A read costs the store the same with 5
+  // processes as with 750, so only a few processes read; a process without a
+  // report of a recent read reads the store itself. Datagrams that are received
+  // but not read yet count. Must not be called from a hook.
   bool PeersReadStore();
 
  private:
--- a/src/gateway_process/settings_reader.h
+++ b/src/gateway_process/settings_reader.h
@@ -6,8 +6,8 @@
 
 namespace acacialug::gateway_process {
 
-// Reads the tables [gateway], [repeats] and [log] of a settings text; what is
-// wrong is reported to the table's reader. Not thread safe, like the reader.
+// Reads the tables [gateway], [repeats] and [log] of a settings text and
+// reports errors to the table's reader. Not thread safe, like the reader.
 GatewaySettings ReadGatewaySettings(const settings::Table& root);
 
 }  // namespace acacialug::gateway_process
--- a/src/gateway_process/tests/gateway_process_test.cc
+++ b/src/gateway_process/tests/gateway_process_test.cc
@@ -30,7 +30,7 @@
 
 const acacialug::testing::Story kCatalog(
     "the catalog page",
-    {It("gives a peer all that this process knows",
+    {It("contains all that this process knows",
         [] {
           const Catalog known{
               .configuration =
@@ -45,7 +45,7 @@
           CPPUNIT_ASSERT(*read->endpoints.records[0].record ==
                          *known.endpoints.records[0].record);
         }),
-     It("gives customers and their keys' digests, and none where there are "
+     It("contains customers and their keys' digests, and none where there are "
         "none",
         [] {
           gateway::Configuration configuration = OneRoute("s");
@@ -78,7 +78,7 @@
           CPPUNIT_ASSERT(
               !ParseCatalog(RenderCatalog(keyless))->configuration->customers);
         }),
-     It("is asked for with what is known, or by programs that do not tell",
+     It("is requested with the known position, or without any",
         [] {
           CPPUNIT_ASSERT(KnownByTarget(CatalogTarget(LogOffset(6))) ==
                          LogOffset(6));
@@ -90,7 +90,7 @@
           }
         }),
      ForEach<std::string>(
-         "that is wrong is told by number:",
+         "that is wrong is reported by number:",
          {"", "{}", "[]", R"({"endpoints_as_of":1})",
           R"({"endpoints_as_of":1,"endpoints_settled":true,"endpoints":[{}]})"},
          [](const std::string& text) { return "\"" + text + "\""; },
@@ -109,7 +109,7 @@
 
 struct RenderedSetting {
   std::string name;
-  std::string text;  // under [repeats]
+  std::string text;  // Settings under [repeats].
   double extra = 0;
   double share = 0;
   Duration window{};
@@ -117,7 +117,7 @@
 
 const acacialug::testing::Story kSettingsStory(
     "the gateway's settings",
-    {It("take what is told, and have a default for the rest",
+    {It("take the given values, and have defaults for the rest",
         [] {
           settings::Reader reader = settings::Reader::FromText(
               "t", kSettings +
@@ -150,9 +150,9 @@
          },
          [](const RenderedSetting& rendered) { return rendered.name; },
          [](const RenderedSetting& rendered) {
-           // Symptom: no process of a fleet starts, each with a complaint of a
-           // setting that nobody typed. Cause: numbers that the platform
-           // divides were read as integers.
+           // Symptom: no process of a fleet starts; each reports an error in a
+           // setting that was not written by hand. Cause: numbers that the
+           // platform divides among the processes were read as integers.
            settings::Reader reader = settings::Reader::FromText(
                "t", kSettings + "[repeats]\n" + rendered.text + "\n");
            const GatewaySettings read = ReadGatewaySettings(reader.Root());
@@ -309,7 +309,7 @@
           CPPUNIT_ASSERT(metrics.find("acacialug_gateway_requests_total") !=
                          std::string::npos);
         }),
-     It("that drains is not ready at once, serves who still comes, and ends",
+     It("that drains is not ready at once, serves later requests, and ends",
         [] {
           Site site;
           site.Know();
--- a/src/gateway_process/tests/gateway_support.h
+++ b/src/gateway_process/tests/gateway_support.h
@@ -13,7 +13,7 @@
 #include "gateway/types/endpoint_record.h"
 #include "gateway_process/internal/catalog_page.h"
 
-// What tests of gateway processes have in common.
+// Helpers shared by the tests of gateway processes.
 namespace acacialug::gateway_process::testing {
 
 inline const http::Address kAnyPort{.ip = "127.0.0.1", .port = 0};
@@ -44,7 +44,7 @@
                                             .slots = 4}};
 }
 
-// A free port, for processes that must know each other's.
+// A free port, for processes that must know each other's ports.
 inline std::uint16_t FreePort() {
   http::Server probe({.listen = kAnyPort, .make_handler = [](int) {
                         return [](const http::Request&,
@@ -54,7 +54,7 @@
   return probe.port();
 }
 
-// As many as a site's gateways were seen to choke their links with.
+// The number of routes at which a site's gateways saturated their links.
 inline constexpr std::size_t kManyRoutes = 1449;
 
 inline std::shared_ptr<const gateway::Configuration> ManyRoutes(
--- a/src/gateway_process/tests/peer_link_test.cc
+++ b/src/gateway_process/tests/peer_link_test.cc
@@ -45,20 +45,20 @@
               .own_load = [this] { return this->load; },
               .own_catalog =
                   [this] {
-                    ++this->asked;
+                    ++this->page_requests;
                     return this->known;
                   },
               .own_pauses = [this] { return this->pauses; },
               .on_pause =
                   [this](const gateway::EndpointPause& pause) {
-                    this->heard_pause = pause;
-                    this->heard_pauses.insert(pause.endpoint_key);
+                    this->received_pause = pause;
+                    this->received_pauses.insert(pause.endpoint_key);
                   },
               .on_load =
                   [this](const std::string& peer,
                          const gateway::PeerLoad& received) {
                     this->received[peer] = received;
-                    ++this->told_of;
+                    ++this->received_count;
                   },
               .next_forecast = [this] { return this->learned; },
               .on_forecast =
@@ -117,7 +117,7 @@
   Instant Now() const {
     return this->stopped.value_or(MonotonicNow()) + this->ahead;
   }
-  // Three endpoints end under a request of this key.
+  // Three endpoints end under a request with this key.
   void NoteEnds(retry::RequestKey request) {
     for (std::uint32_t number = 1; number <= 3; ++number) {
       this->crashes.NoteEnd(request, {number, number}, this->Now());
@@ -133,31 +133,32 @@
   }}};
   std::vector<gateway::EndpointPause> pauses;
   std::map<std::string, gateway::PeerLoad> received;
-  gateway::EndpointPause heard_pause;
-  std::set<std::uint64_t> heard_pauses;  // by endpoint
+  gateway::EndpointPause received_pause;
+  std::set<std::uint64_t> received_pauses;  // by endpoint
   std::optional<forecast::ForecastReport> learned;
   std::optional<forecast::ForecastReport> received_forecast;
   std::optional<Catalog> taken;
   int takes = 0;
   bool took_configuration = false;
-  int asked = 0;
-  std::optional<Instant> stopped;  // what its clock shows, if it stands
-  Duration ahead{};                // its clock is, of the machine's
+  int page_requests = 0;
+  // The time its clock shows while it is stopped.
+  std::optional<Instant> stopped;
+  Duration ahead{};  // Offset of its clock from the machine's.
   std::size_t peers = 0;
   bool first = false;
-  int told_of = 0;  // datagrams heard
+  int received_count = 0;  // Received datagrams.
   std::function<void()> on_count = [] {};
   PeerLink link;
 };
 
-// A process of which there is only what it sends.
+// A process of which only the sent datagrams are simulated.
 struct Sender {
   explicit Sender(const std::string& id)
       : heartbeat{.sender = id, .incarnation = Incarnation(1)} {
     CPPUNIT_ASSERT(this->socket.Bind(kAnyPort).ok());
   }
 
-  void Tell(const Peer& peer) {
+  void Send(const Peer& peer) {
     ++this->heartbeat.sequence;
     CPPUNIT_ASSERT(
         this->socket.Send(protocol::Encode(this->heartbeat), peer.address));
@@ -170,7 +171,8 @@
 
 const acacialug::testing::Story kPeers(
     "two gateways",
-    {It("hear each other's loads and pauses when one knows the other's address",
+    {It("receive each other's loads and pauses when one knows the other's "
+        "address",
         [] {
           Peer a("a", FreePort());
           Peer b("b", FreePort());
@@ -185,20 +187,21 @@
           WaitUntil("rows", [&] { return !b.received["a"].rows.empty(); });
           CPPUNIT_ASSERT_EQUAL(std::uint32_t{2},
                                b.received["a"].rows[0].load.requests);
-          CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, b.heard_pause.endpoint_key);
-          CPPUNIT_ASSERT(b.heard_pause.left == 1s);
-          CPPUNIT_ASSERT(b.heard_pause.reason ==
+          CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, b.received_pause.endpoint_key);
+          CPPUNIT_ASSERT(b.received_pause.left == 1s);
+          CPPUNIT_ASSERT(b.received_pause.reason ==
                          gateway::PauseReason::kUnreachable);
           WaitUntil("the first", [&] { return a.first && a.peers == 1; });
           CPPUNIT_ASSERT(!b.first);
         }),
-     It("hear of all pauses, also of more than one heartbeat holds",
+     It("receive all pauses, even when one heartbeat cannot hold them",
         [] {
-          // Symptom: four hundred prompts are refused in six seconds of a calm
-          // day. Sequence: a fleet begins with too many prefill endpoints; one
-          // process orders twenty-four to change their role, and tells of
-          // sixteen; each peer goes on to place prompts at the others. Cause:
-          // what did not fit a heartbeat was in none.
+          // Symptom: four hundred prompts are refused within six seconds in a
+          // fleet without faults. Sequence: a fleet starts with too many
+          // prefill endpoints; one process orders twenty-four of them to change
+          // their role, and reports sixteen; each peer goes on placing prompts
+          // at the others. Cause: pauses that did not fit into one heartbeat
+          // were never sent.
           Peer a("a", FreePort());
           Peer b("b", FreePort());
           b.link.SetMembers({{"a", a.address}});
@@ -206,14 +209,14 @@
           for (std::uint64_t key = 0; key < 40; ++key) {
             a.pauses.push_back({.endpoint_key = key, .left = 6s});
           }
-          const int before = b.told_of;
+          const int before = b.received_count;
           a.link.ReportPauses();
-          WaitUntil("all", [&] { return b.heard_pauses.size() == 40; });
-          CPPUNIT_ASSERT(b.told_of <= before + 4);
+          WaitUntil("all", [&] { return b.received_pauses.size() == 40; });
+          CPPUNIT_ASSERT(b.received_count <= before + 4);
         }),
-     It("tell each other of requests under which endpoints ended",
+     It("report to each other the requests under which endpoints ended",
         [] {
-          // Guards against a request that ends endpoints at each gateway anew.
+          // Guards against a request that ends endpoints again at each gateway.
           constexpr retry::RequestKey kRequest(77);
           Peer a("a", FreePort());
           Peer b("b", FreePort());
@@ -229,10 +232,10 @@
               protocol::kMaxPeerHeartbeatRows - protocol::kRowsPerCrash,
               b.received["a"].rows.size());
         }),
-     It("tell one that comes later of requests under which endpoints ended",
+     It("report to a later gateway the requests under which endpoints ended",
         [] {
-          // Guards against a gateway that starts anew and lets such a request
-          // end endpoints again.
+          // Guards against a restarted gateway that lets such a request end
+          // endpoints again.
           constexpr retry::RequestKey kRequest(77);
           Peer a("a", FreePort());
           a.NoteEnds(kRequest);
@@ -243,7 +246,7 @@
                     [&] { return b.crashes.Quarantined(kRequest, b.Now()); });
           CPPUNIT_ASSERT(b.crashes.TimeLeft(kRequest, b.Now()) < 9min + 1s);
         }),
-     It("tell each other what they learned of engines",
+     It("report to each other what they learned of engines",
         [] {
           Peer a("a", FreePort());
           Peer b("b", FreePort());
@@ -268,14 +271,15 @@
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{3},
                                b.taken->configuration->version);
         }),
-     It("ask the next one when the first does not hand over what it tells of",
+     It("query the next peer when the first does not deliver what it reports",
         [] {
-          // Symptom: an endpoint that left gets requests for over three
+          // Symptom: an endpoint that left gets requests for more than three
           // seconds. Sequence: the first process is cut off from the store and
-          // waits for lapsed records; it tells how far it heard, as all do, and
-          // its catalog leaves the endpoint's leaving open; a process that has
-          // just started asks it each quarter of a second, and no other. Cause:
-          // of peers that know as much the first was asked for ever.
+          // waits for lapsed records; like all processes it reports the
+          // position it has read up to, but its catalog leaves the endpoint's
+          // departure open; a process that has just started queries it every
+          // quarter of a second, and no other peer. Cause: among peers that
+          // know equally much, the first was always chosen.
           Peer a("a", FreePort());
           Peer b("b", FreePort());
           Peer c("c", FreePort());
@@ -288,11 +292,11 @@
             return c.taken && c.taken->endpoints.as_of == LogOffset(10);
           });
         }),
-     It("ask the next one when the first started again under another id",
+     It("query the next peer when the first restarted under another id",
         [] {
-          // Beside the process that its address has now, the one that had it
-          // before is known for a while: what is noted of one must not be noted
-          // of the other, or the same one is asked for ever.
+          // For a while both the process that has the address now and the
+          // process that had it before are known. A result noted for one must
+          // not be noted for the other, or the same peer is queried forever.
           Peer b("b", FreePort());
           b.link.SetPositions({.changed_to = LogOffset(10)});
           b.known.endpoints.as_of = LogOffset(3);
@@ -310,13 +314,13 @@
           Peer c("c", FreePort());
           Sender before("a");
           before.heartbeat.pages_port = b.address.port;
-          before.Tell(c);
+          before.Send(c);
           c.link.SetMembers({{"b", b.address}, {last, d.address}});
           WaitUntil("the settled catalog", [&] {
             return c.taken && c.taken->endpoints.as_of == LogOffset(10);
           });
         }),
-     It("do not leave the reading of the store to too few",
+     It("leave the reading of the store to peers only if enough of them read",
         [] {
           Peer a("a", FreePort());
           Peer b("b", FreePort());
@@ -332,8 +336,8 @@
           Sender b("b");
           a.heartbeat.domain_key = placement::HashText("x");
           b.heartbeat.domain_key = placement::HashText("y");
-          a.Tell(c);
-          b.Tell(c);
+          a.Send(c);
+          b.Send(c);
           WaitUntil("both", [&c] { return c.received.size() == 2; });
           CPPUNIT_ASSERT(c.received["a"].near);
           CPPUNIT_ASSERT(!c.received["b"].near);
@@ -341,18 +345,19 @@
      It("of a hundred leave the reading of the store to two whose heartbeats "
         "are due",
         [] {
-          // Symptom: calls to the store grow with the gateways: of 103 all read
-          // it, a call each every quarter of a second. Sequence: the two
-          // readers read twice a second, and tell each peer of it in a round
-          // of heartbeats that takes most of a second; by then their reading
-          // looks old. Cause: its age was judged without the round's.
+          // Symptom: calls to the store grow with the number of gateways: all
+          // of 103 read it, with a call each every quarter of a second.
+          // Sequence: the two readers read twice a second, and report it to
+          // each peer in a round of heartbeats that takes most of a second; by
+          // then their read looks stale. Cause: the age limit did not include
+          // the length of the round.
           Peer c("c", FreePort());
           Sender a("a");
           Sender b("b");
           a.heartbeat.read_age_ms = 500;
           b.heartbeat.read_age_ms = 500;
-          a.Tell(c);
-          b.Tell(c);
+          a.Send(c);
+          b.Send(c);
           WaitUntil("both", [&c] { return c.peers == 2; });
           c.ahead += 600ms;
           CPPUNIT_ASSERT(!c.link.PeersReadStore());
@@ -366,9 +371,9 @@
           CPPUNIT_ASSERT(!c.link.PeersReadStore());
         })});
 
-// One that knows a newer configuration than `asker`, and newer endpoints.
-struct Knowing {
-  explicit Knowing(Peer& peer) {
+// A peer that knows a newer configuration and newer endpoints than `requester`.
+struct InformedPeer {
+  explicit InformedPeer(Peer& peer) {
     peer.known = KnownAt(6);
     peer.link.SetPositions({.configuration = LogOffset(7),
                             .changed_to = LogOffset(8),
@@ -378,14 +383,14 @@
 
 const acacialug::testing::Story kSources(
     "a gateway that hears of a newer configuration",
-    {It("has it from the store, and from a peer only when the store is late",
+    {It("gets it from the store, and from a peer only when the store is late",
         [] {
-          // The store's link is wide, that of a gateway is not: a page for each
-          // of them went over the link of one, beside the same record that each
-          // read from the store.
+          // A gateway's link is narrower than the store's: a page for each peer
+          // went through the link of one gateway, next to the same record that
+          // each read from the store.
           Peer a("a", FreePort());
           Peer b("b", FreePort());
-          const Knowing knowing(a);
+          const InformedPeer knowing(a);
           b.stopped = MonotonicNow();
           b.link.SetPositions({.configuration = LogOffset(6)});
           b.link.SetStoreServes(true);
@@ -397,43 +402,43 @@
           *b.stopped += 600ms;
           WaitUntil("the configuration", [&] { return b.took_configuration; });
         }),
-     It("asks a peer at once when the store does not serve it",
+     It("queries a peer at once when the store does not serve it",
         [] {
           Peer a("a", FreePort());
           Peer b("b", FreePort());
-          const Knowing knowing(a);
+          const InformedPeer knowing(a);
           b.stopped = MonotonicNow();
           b.link.SetPositions({.configuration = LogOffset(6)});
           b.link.SetMembers({{"a", a.address}});
           WaitUntil("the configuration", [&] { return b.took_configuration; });
           CPPUNIT_ASSERT_EQUAL(1, b.takes);
         }),
-     It("asks a peer at once when it has none yet",
+     It("queries a peer at once when it has no configuration yet",
         [] {
           Peer a("a", FreePort());
           Peer b("b", FreePort());
-          const Knowing knowing(a);
+          const InformedPeer knowing(a);
           b.stopped = MonotonicNow();
           b.link.SetStoreServes(true);
           b.link.SetMembers({{"a", a.address}});
           WaitUntil("the configuration", [&] { return b.took_configuration; });
           CPPUNIT_ASSERT_EQUAL(1, b.takes);
         }),
-     It("asks another peer than the others do",
+     It("queries another peer than the other gateways do",
         [] {
-          // All asked the first by id of those that knew as much, and its link
-          // was the one that choked.
+          // All processes queried the first peer by id among those that knew
+          // equally much, and its link was saturated.
           Peer a("a", FreePort());
           Peer b("b", FreePort());
-          std::vector<std::unique_ptr<Peer>> askers;
+          std::vector<std::unique_ptr<Peer>> requesters;
           for (const char* const id :
                {"c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}) {
-            Peer& asker =
-                *askers.emplace_back(std::make_unique<Peer>(id, FreePort()));
-            asker.link.SetPositions({.configuration = LogOffset(6)});
-            asker.link.SetStoreServes(true);
-            asker.stopped = MonotonicNow();
-            asker.link.SetMembers({{"a", a.address}, {"b", b.address}});
+            Peer& requester = *requesters.emplace_back(
+                std::make_unique<Peer>(id, FreePort()));
+            requester.link.SetPositions({.configuration = LogOffset(6)});
+            requester.link.SetStoreServes(true);
+            requester.stopped = MonotonicNow();
+            requester.link.SetMembers({{"a", a.address}, {"b", b.address}});
           }
           gateway::Configuration newer = OneRoute("s");
           newer.offset = LogOffset(6);
@@ -442,42 +447,43 @@
                 std::make_shared<gateway::Configuration>(newer);
             known->link.SetPositions({.configuration = LogOffset(7)});
           }
-          const auto all = [&askers](const std::function<bool(Peer&)>& holds) {
-            return std::all_of(askers.begin(), askers.end(),
+          const auto all = [&requesters](
+                               const std::function<bool(Peer&)>& holds) {
+            return std::all_of(requesters.begin(), requesters.end(),
                                [&](const auto& one) { return holds(*one); });
           };
           WaitUntil("both heard", [&] {
-            return all([](Peer& one) { return one.told_of >= 2; });
+            return all([](Peer& one) { return one.received_count >= 2; });
           });
-          for (const auto& asker : askers) {
-            asker->stopped.reset();
-            asker->ahead = 600ms;
+          for (const auto& requester : requesters) {
+            requester->stopped.reset();
+            requester->ahead = 600ms;
           }
           WaitUntil("the configuration", [&] {
             return all([](Peer& one) { return one.took_configuration; });
           });
-          CPPUNIT_ASSERT(a.asked > 2 && b.asked > 2);
+          CPPUNIT_ASSERT(a.page_requests > 2 && b.page_requests > 2);
         }),
      It("asks another, or later, when it is turned away", [] {
        Peer a("a", FreePort());
        Peer b("b", FreePort());
        Peer c("c", FreePort());
        Peer d("d", FreePort());
-       const Knowing knowing_a(a);
+       const InformedPeer knowing_a(a);
        a.stopped = MonotonicNow();
        a.known.configuration = ManyRoutes(6);
        std::vector<std::unique_ptr<Peer>> before;
        for (const char* const id : {"x", "y"}) {
-         Peer& asker =
+         Peer& requester =
              *before.emplace_back(std::make_unique<Peer>(id, FreePort()));
-         asker.link.SetMembers({{"a", a.address}});
+         requester.link.SetMembers({{"a", a.address}});
          WaitUntil("one of two at a time",
-                   [&] { return asker.took_configuration; });
+                   [&] { return requester.took_configuration; });
        }
        c.link.SetMembers({{"a", a.address}});
        WaitUntil("the endpoints", [&] { return c.taken.has_value(); });
        CPPUNIT_ASSERT(!c.took_configuration);
-       const Knowing knowing_b(b);
+       const InformedPeer knowing_b(b);
        c.link.SetMembers({{"b", b.address}});
        WaitUntil("another's", [&] { return c.took_configuration; });
        d.link.SetMembers({{"a", a.address}});
@@ -487,57 +493,58 @@
        WaitUntil("the configuration", [&] { return d.took_configuration; });
      })});
 
-const acacialug::testing::Story kStandstill(
-    "a gateway that itself stood still",
-    {It("leaves the reading of the store to peers whose word lies unread",
+const acacialug::testing::Story kStall(
+    "a gateway that itself stalled",
+    {It("leaves the reading of the store to peers with unread heartbeats",
         [] {
           Peer c("c", FreePort());
           Sender a("a");
           Sender b("b");
-          a.Tell(c);
-          b.Tell(c);
+          a.Send(c);
+          b.Send(c);
           WaitUntil("both", [&c] { return c.peers == 2; });
           CPPUNIT_ASSERT(c.link.PeersReadStore());
           c.ahead += 5s;
-          a.Tell(c);
-          b.Tell(c);
+          a.Send(c);
+          b.Send(c);
           CPPUNIT_ASSERT(c.link.PeersReadStore());
         }),
-     It("loses no peer whose word lies behind a newcomer's",
+     It("loses no peer whose heartbeat is queued behind a new peer's",
         [] {
           Peer c("c", FreePort());
           Sender a("a");
           Sender b("b");
-          a.Tell(c);
+          a.Send(c);
           WaitUntil("the peer", [&c] { return c.peers == 1; });
           std::size_t fewest = 2;
           c.on_count = [&] { fewest = std::min(fewest, c.peers); };
           c.ahead += 5s;
-          b.Tell(c);
-          a.Tell(c);
+          b.Send(c);
+          a.Send(c);
           WaitUntil("both", [&c] { return c.peers == 2; });
           CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fewest);
         }),
-     It("loses no peer whose word lies unread", [] {
-       // A gateway's processor time was used up for 1.9 s, and it told
-       // `peer_lost` of all its peers at once, though none had been silent:
-       // what they had sent lay in its socket, and the keep-alive was rung
-       // before it was read. It then took its share of the repeats for the
-       // whole, and the store's reading upon itself.
+     It("loses no peer with an unread heartbeat", [] {
+       // A gateway's processor time was used up for 1.9 s, and it logged
+       // `peer_lost` for all of its peers at once, though all had kept sending:
+       // their datagrams were in its socket, and the keep-alive timer fired
+       // before they were read. The gateway then took its share of the repeats
+       // for the whole, and took over the reading of the store.
        Peer b("b", FreePort());
        Sender a("a");
-       a.Tell(b);
+       a.Send(b);
        WaitUntil("the peer", [&b] { return b.peers == 1; });
        int stands = 0;
        std::size_t fewest = 1;
        b.on_count = [&] { fewest = std::min(fewest, b.peers); };
-       // Stands still while an event is handled, so that what comes meanwhile
-       // is not in this turn of the loop, but the timer is due.
+       // Stalls while an event is handled, so that datagrams received meanwhile
+       // are not read in this iteration of the event loop, but the timer is
+       // due.
        net::DatagramSocket work(
            {.on_datagram = [&](std::string_view, const http::Address& self) {
              std::this_thread::sleep_for(450ms);
              b.ahead += 5s;
-             a.Tell(b);
+             a.Send(b);
              if (++stands < 4) {
                work.Send("more", self);
              }
