--- a/src/engine/engine_factory.h
+++ b/src/engine/engine_factory.h
@@ -8,8 +8,8 @@
 
 namespace acacialug::engine {
 
-// The adapter for the options' kind. Thread: one with a running Qt event
-// loop; the engine lives and ends there.
+// Makes the adapter for the kind in the options. Thread: a thread with a
+// running Qt event loop; the engine is used and destroyed on it.
 std::unique_ptr<IEngine> MakeEngine(const EngineOptions& options);
 
 }  // namespace acacialug::engine
--- a/src/engine/internal/abort_sender.cc
+++ b/src/engine/internal/abort_sender.cc
@@ -8,9 +8,10 @@
 namespace acacialug::engine {
 namespace {
 
-// An engine that is gone for good must not take this process's memory; the
-// list of held requests, read once it is back, finds what was dropped here.
-constexpr std::size_t kMostWaiting = 8192;
+// Bounds the memory used for an engine that never returns. Aborts above the
+// bound are dropped; the list of held requests, which is read once the engine
+// is back, finds their attempts.
+constexpr std::size_t kMaxWaiting = 8192;
 
 constexpr int kOkStatus = 200;
 
@@ -26,7 +27,7 @@
 }
 
 void AbortSender::Add(const AttemptId& attempt) {
-  if (this->waiting.size() >= kMostWaiting) {
+  if (this->waiting.size() >= kMaxWaiting) {
     return;
   }
   this->waiting.push_back(attempt);
--- a/src/engine/internal/abort_sender.h
+++ b/src/engine/internal/abort_sender.h
@@ -9,11 +9,11 @@
 
 namespace acacialug::engine {
 
-// Tells the engine which attempts to abort, until the engine has answered.
-// An abort that is lost leaves KV memory held for a request that is gone,
-// seen as streams in the engine that no agent knows; so each is sent again
-// until the engine takes it. One request at a time, with all attempts that
-// came meanwhile. Lives on its client's thread; not thread safe.
+// Sends the aborts of attempts to the engine until the engine has answered. A
+// lost abort leaves KV memory held for a request that no longer exists; it
+// shows as streams in the engine that no agent owns. So each abort is sent
+// again until the engine accepts it. One request is sent at a time, with all
+// attempts added meanwhile. Lives on its client's thread; not thread safe.
 class AbortSender {
  public:
   // The client must outlive this.
@@ -29,7 +29,7 @@
   EngineOptions options;
   http::Client& client;
   std::vector<AttemptId> waiting;
-  std::vector<AttemptId> sent;  // in the request under way
+  std::vector<AttemptId> sent;  // in the current request
   Duration next_retry;
   QTimer timer;
 };
--- a/src/engine/internal/event_outlet.h
+++ b/src/engine/internal/event_outlet.h
@@ -10,8 +10,8 @@
 
 namespace acacialug::engine {
 
-// Where an adapter's events leave: at once, or from the event loop for what
-// is known while Execute still runs. Not thread safe.
+// Delivers an adapter's events: at once, or from the event loop for events that
+// are known while Execute still runs. Not thread safe.
 class EventOutlet {
  public:
   using Hook = std::function<void(const EngineEvent&)>;
@@ -25,7 +25,8 @@
     }
   }
 
-  // From the event loop, unless this outlet is gone by then.
+  // Sends the event from the event loop, unless this outlet is destroyed by
+  // then.
   void Post(EngineEvent event) {
     QTimer::singleShot(0, &this->context,
                        [this, event = std::move(event)] { this->Send(event); });
@@ -33,7 +34,7 @@
 
  private:
   Hook hook;
-  QObject context;  // ends what was posted with the outlet
+  QObject context;  // cancels posted events with the outlet
 };
 
 }  // namespace acacialug::engine
--- a/src/engine/internal/event_stream_reader.h
+++ b/src/engine/internal/event_stream_reader.h
@@ -8,23 +8,23 @@
 
 namespace acacialug::engine {
 
-// Takes server-sent events (the `data` fields of text/event-stream) out of
-// bytes that come cut anywhere. Not thread safe.
+// Parses server-sent events (the `data` fields of text/event-stream) from bytes
+// that may be split at any point. Not thread safe.
 class EventStreamReader {
  public:
-  // An event of more bytes than `max_event_bytes` breaks the stream: an
-  // engine that never ends a line would otherwise take all memory.
+  // An event of more than `max_event_bytes` bytes breaks the stream: an engine
+  // that never ends a line would otherwise use all memory.
   explicit EventStreamReader(std::size_t max_event_bytes)
       : max_bytes(max_event_bytes) {}
 
-  // Adds bytes; take the events they complete by Next.
+  // Adds bytes. Next returns the events that they complete.
   void Feed(std::string_view bytes);
 
   // The data of the next whole event, without its line end; empty when more
   // bytes are needed. Events without data (comments) are skipped.
   std::optional<std::string> Next();
 
-  // An event was too long; nothing more will come.
+  // An event was too long; Next returns no further event.
   bool broken() const { return this->too_long; }
 
  private:
@@ -35,7 +35,7 @@
   std::size_t max_bytes;
   std::string buffer;
   std::size_t taken = 0;  // bytes of `buffer` already read as lines
-  std::string data;       // of the event under way
+  std::string data;       // of the current event
   bool has_data = false;
   bool too_long = false;
 };
--- a/src/engine/internal/json_access.h
+++ b/src/engine/internal/json_access.h
@@ -11,10 +11,10 @@
 
 using Json = nlohmann::json;
 
-// Access to JSON that another program wrote: a member that is missing or of
-// another type reads as the empty value, never as an exception. Thread safe.
+// Access to JSON that another program wrote: a member that is missing or has
+// another type reads as the empty value and never throws. Thread safe.
 
-// Discarded (is_discarded()) for text that is no JSON.
+// Returns a discarded value (is_discarded()) for text that is not JSON.
 inline Json ParseJson(std::string_view text) {
   return Json::parse(text, nullptr, /*allow_exceptions=*/false);
 }
@@ -42,8 +42,8 @@
 }
 
 inline std::uint32_t Unsigned32(const Json& json) {
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::min(Unsigned(json), kMost));
+  constexpr std::uint64_t kMax = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(std::min(Unsigned(json), kMax));
 }
 
 }  // namespace acacialug::engine
--- a/src/engine/internal/openai_engine.cc
+++ b/src/engine/internal/openai_engine.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kOkStatus = 200;
-constexpr std::size_t kMostErrorBytes = std::size_t{64} << 10;
+constexpr std::size_t kMaxErrorBytes = std::size_t{64} << 10;
 constexpr std::string_view kStreamEnd = "[DONE]";
 
 const http::Header kJsonContent{"Content-Type", "application/json"};
@@ -203,8 +203,8 @@
     return;
   }
   if (work->status != kOkStatus) {
-    const std::size_t room = kMostErrorBytes - work->error_body.size();
-    work->error_body.append(data.substr(0, room));
+    const std::size_t free_bytes = kMaxErrorBytes - work->error_body.size();
+    work->error_body.append(data.substr(0, free_bytes));
     return;
   }
   work->reader.Feed(data);
@@ -271,16 +271,16 @@
     this->Fail(work, FailureOf(work.status, work.error_body));
     return;
   }
-  // Ended in good order for HTTP, but before [DONE]: half an answer must not
-  // pass for a whole one.
+  // The HTTP exchange ended correctly, but before [DONE]: a partial answer must
+  // not count as a complete one.
   this->Fail(work, {.code = ResultCode::kEngineFailed});
 }
 
 void OpenAiEngine::Fail(Work& work, const Failure& failure) {
   this->Finish(work);
   if (failure.outcome != protocol::Outcome::kNotRun) {
-    // The engine may still run it, or hold its export: the agent counts the
-    // memory as free from here on.
+    // The engine may still run the attempt or hold its export, while the agent
+    // counts the memory as free from here on.
     this->aborts.Add(work.attempt);
   }
   this->outlet.Send(AttemptFailed{.attempt = work.attempt,
--- a/src/engine/internal/openai_engine.h
+++ b/src/engine/internal/openai_engine.h
@@ -15,8 +15,8 @@
 
 namespace acacialug::engine {
 
-// An engine with the OpenAI-compatible API, vLLM's hand-over of KV caches,
-// and the control routes of docs/PROTOCOL.md.
+// An engine with the OpenAI-compatible API, vLLM's KV cache transfer, and the
+// control routes of docs/PROTOCOL.md.
 class OpenAiEngine : public IEngine {
  public:
   explicit OpenAiEngine(const EngineOptions& engine_options);
@@ -25,18 +25,18 @@
   void SetOnEvent(std::function<void(const EngineEvent&)> on_event) override;
 
  private:
-  // One prefill or stream under way.
+  // One running prefill or stream.
   struct Work {
     AttemptId attempt;
     http::Client* client = nullptr;
     http::Client::ExchangeId exchange = 0;
-    // Of a stream only:
+    // For streams only:
     int status = 0;
     std::string error_body;
     EventStreamReader reader;
     std::optional<protocol::FinishReason> reason;
     protocol::Usage usage;
-    bool finished = false;  // no event of it may leave any more
+    bool finished = false;  // sends no further event
   };
   using WorkPtr = std::shared_ptr<Work>;
 
@@ -66,7 +66,7 @@
   EngineOptions options;
   EventOutlet outlet;
   std::unordered_map<AttemptId, WorkPtr> works;
-  http::Client streams;   // no silence timeout: the agent watches progress
+  http::Client streams;   // no response timeout: the agent watches progress
   http::Client requests;  // prefills and control
   AbortSender aborts;
 };
--- a/src/engine/internal/openai_format.cc
+++ b/src/engine/internal/openai_format.cc
@@ -18,7 +18,7 @@
   Failure failure;
 };
 
-// The engines' own words for refusals; each says that nothing ran.
+// The error codes that engines use for refusals; with each of them nothing ran.
 constexpr std::array<ErrorCodeRow, 3> kErrorCodes = {{
     {"kv_expired", {ResultCode::kExportExpired, Outcome::kNotRun}},
     {"memory_full", {ResultCode::kNoDecodeMemory, Outcome::kNotRun}},
@@ -71,7 +71,8 @@
              : AppendToPrompt(body, request.resumed_text);
 }
 
-// The caller's body with what this system decides in its place.
+// The caller's body, in which the members that this system decides are
+// replaced.
 Result<Json> CommonBody(const GenerationRequest& request) {
   Json body = ParseJson(request.body);
   if (!body.is_object()) {
@@ -97,7 +98,7 @@
           .output_tokens = Unsigned32(Member(usage, "completion_tokens"))};
 }
 
-// Null when there is none: the last event of a stream has only the usage.
+// Null when there is no choice: the last event of a stream has only the usage.
 const Json& FirstChoice(const Json& answer) {
   static const Json kNone;
   for (const Json& choice : Member(answer, "choices")) {
@@ -185,7 +186,7 @@
   }
   StreamPart part;
   if (event.contains("error")) {
-    // The stream had begun, so that nothing proves that it did not run.
+    // The stream had begun, so nothing proves that the attempt did not run.
     const ErrorCodeRow* row = FindErrorCode(ErrorCodeOf(event));
     part.failure = Failure{};
     if (row != nullptr) {
--- a/src/engine/internal/openai_format.h
+++ b/src/engine/internal/openai_format.h
@@ -10,11 +10,12 @@
 #include "framework/global/types/result.h"
 
 // The JSON of the OpenAI-compatible API and of vLLM's disaggregated prefill
-// (`kv_transfer_params`), as text in and typed values out. Pure functions,
+// (`kv_transfer_params`): takes text and returns typed values. Pure functions,
 // thread safe.
 namespace acacialug::engine {
 
-// Why an attempt failed, as far as the engine's answer tells.
+// The reason for which an attempt failed, as far as the engine's answer gives
+// it.
 struct Failure {
   ResultCode code = ResultCode::kEngineFailed;
   protocol::Outcome outcome = protocol::Outcome::kUnknown;
@@ -23,8 +24,8 @@
 // "/v1/completions" or "/v1/chat/completions".
 std::string_view GenerationPath(protocol::GenerationApi api);
 
-// Bodies of the requests. Errors: kMalformedJson, and kInvalidParameter for
-// a prompt that cannot be resumed by text.
+// Bodies of the requests. Errors: kMalformedJson, and kInvalidParameter for a
+// prompt that cannot be resumed by appending text.
 Result<std::string> PrefillBody(const protocol::GenerationRequest& request);
 Result<std::string> DecodeBody(const protocol::GenerationRequest& request,
                                const protocol::KvHandle& kv);
@@ -36,21 +37,21 @@
 // Errors: kEngineBadAnswer.
 Result<PrefillAnswer> ParsePrefillAnswer(std::string_view body);
 
-// What one server-sent event of a stream says.
+// The content of one server-sent event of a stream.
 struct StreamPart {
   std::string text;
   std::optional<protocol::FinishReason> reason;
   std::optional<protocol::Usage> usage;
   std::optional<Failure> failure;
 };
-// Errors: kEngineBadAnswer. `[DONE]` is no part.
+// Errors: kEngineBadAnswer. `[DONE]` is not a part.
 Result<StreamPart> ParseStreamPart(std::string_view data);
 
-// What an HTTP error before any part of an answer says.
+// The failure for an HTTP error that comes before any part of an answer.
 Failure FailureOf(int status, std::string_view body);
 
-// Attempts among the request ids of `GET /requests`; ids that are no attempt's
-// are left out. Errors: kEngineBadAnswer.
+// The attempts among the request ids of `GET /requests`; ids that name no
+// attempt are left out. Errors: kEngineBadAnswer.
 Result<std::vector<AttemptId>> ParseHeld(std::string_view body);
 
 std::string AbortBody(const std::vector<AttemptId>& attempts);
--- a/src/engine/internal/plain_engine.cc
+++ b/src/engine/internal/plain_engine.cc
@@ -15,8 +15,8 @@
   return headers;
 }
 
-// Without what belongs to one connection; the body's length is set anew by
-// whoever sends it.
+// Leaves out the headers that belong to one connection; the sender of the body
+// sets its length again.
 http::Headers PassedOn(const http::Headers& headers) {
   http::Headers passed;
   for (const http::Header& header : headers) {
@@ -89,7 +89,8 @@
 }
 
 void PlainEngine::Run(const SetPaused&) {
-  // An answer is taken whole before it is passed on: nothing to pause.
+  // An answer is read whole before it is passed on, so there is nothing to
+  // pause.
 }
 
 void PlainEngine::Run(const Prefill& command) {
--- a/src/engine/internal/plain_engine.h
+++ b/src/engine/internal/plain_engine.h
@@ -11,7 +11,8 @@
 namespace acacialug::engine {
 
 // A plain HTTP service: calls are passed through, and any whole HTTP answer
-// counts as completed, whatever its status. It holds nothing between calls.
+// counts as completed, whatever its status. The service holds nothing between
+// calls.
 class PlainEngine : public IEngine {
  public:
   explicit PlainEngine(const EngineOptions& engine_options);
--- a/src/engine/internal/usual_stream_part.cc
+++ b/src/engine/internal/usual_stream_part.cc
@@ -14,8 +14,8 @@
 namespace acacialug::engine {
 namespace {
 
-// Where in the event the reader is.
-enum class Place : std::uint8_t {
+// The reader's position in the event.
+enum class Position : std::uint8_t {
   kOutside,
   kEvent,
   kChoices,
@@ -59,7 +59,8 @@
 
 constexpr std::size_t kUsualDepth = 8;
 
-// Each method returns false to give up: the form is not the usual one.
+// Each method returns false to give up when the event does not have the usual
+// form.
 class Reader : public nlohmann::json_sax<nlohmann::json> {
  public:
   Reader() { this->outer.reserve(kUsualDepth); }
@@ -71,85 +72,89 @@
   }
 
   bool null() override { return this->TakesValue(); }
-  bool boolean(bool) override { return this->OnOddValue(); }
-  bool number_integer(number_integer_t) override { return this->OnOddValue(); }
+  bool boolean(bool) override { return this->OnUnexpectedValue(); }
+  bool number_integer(number_integer_t) override {
+    return this->OnUnexpectedValue();
+  }
   bool number_float(number_float_t, const string_t&) override {
-    return this->OnOddValue();
+    return this->OnUnexpectedValue();
   }
   bool binary(binary_t&) override { return false; }
 
   bool number_unsigned(number_unsigned_t value) override {
-    if (this->At(Place::kChoice, Key::kIndex)) {
+    if (this->At(Position::kChoice, Key::kIndex)) {
       return value == 0;
     }
     const auto number = static_cast<std::uint32_t>(std::min<std::uint64_t>(
         value, std::numeric_limits<std::uint32_t>::max()));
-    if (this->At(Place::kUsage, Key::kPromptTokens)) {
+    if (this->At(Position::kUsage, Key::kPromptTokens)) {
       this->part.usage->prompt_tokens = number;
-    } else if (this->At(Place::kUsage, Key::kCompletionTokens)) {
+    } else if (this->At(Position::kUsage, Key::kCompletionTokens)) {
       this->part.usage->output_tokens = number;
-    } else if (this->At(Place::kUsageDetails, Key::kCachedTokens)) {
+    } else if (this->At(Position::kUsageDetails, Key::kCachedTokens)) {
       this->part.usage->cached_tokens = number;
     } else {
-      return this->OnOddValue();
+      return this->OnUnexpectedValue();
     }
     return true;
   }
 
   bool string(string_t& value) override {
-    if (this->At(Place::kDelta, Key::kContent)) {
+    if (this->At(Position::kDelta, Key::kContent)) {
       this->delta_text = std::move(value);
-    } else if (this->At(Place::kChoice, Key::kText)) {
+    } else if (this->At(Position::kChoice, Key::kText)) {
       this->choice_text = std::move(value);
-    } else if (this->At(Place::kChoice, Key::kFinishReason)) {
+    } else if (this->At(Position::kChoice, Key::kFinishReason)) {
       this->part.reason = ValueOf(protocol::kFinishReasonNames, value);
       return this->part.reason.has_value();
     } else {
-      return this->OnOddValue();
+      return this->OnUnexpectedValue();
     }
     return true;
   }
 
   bool key(string_t& name) override {
     this->last_key = ValueOf(kKeyNames, name).value_or(Key::kOther);
-    if (this->place != Place::kEvent && this->place != Place::kChoice &&
-        this->place != Place::kDelta && this->place != Place::kUsage &&
-        this->place != Place::kUsageDetails) {
+    if (this->position != Position::kEvent &&
+        this->position != Position::kChoice &&
+        this->position != Position::kDelta &&
+        this->position != Position::kUsage &&
+        this->position != Position::kUsageDetails) {
       return true;
     }
-    // A member that stands twice has no one meaning.
+    // A member that occurs twice has no defined meaning.
     const std::uint32_t bit = 1U << static_cast<unsigned>(this->last_key);
     const bool twice = this->last_key != Key::kOther && (this->seen & bit) != 0;
     this->seen |= bit;
-    return !twice && !this->At(Place::kEvent, Key::kError);
+    return !twice && !this->At(Position::kEvent, Key::kError);
   }
 
   bool start_object(std::size_t) override {
-    if (this->place == Place::kOutside) {
-      return this->Enter(Place::kEvent);
+    if (this->position == Position::kOutside) {
+      return this->Enter(Position::kEvent);
     }
-    if (this->place == Place::kChoices) {
-      return ++this->choices == 1 && this->Enter(Place::kChoice);
+    if (this->position == Position::kChoices) {
+      return ++this->choices == 1 && this->Enter(Position::kChoice);
     }
-    if (this->At(Place::kChoice, Key::kDelta)) {
+    if (this->At(Position::kChoice, Key::kDelta)) {
       this->has_delta = true;
-      return this->Enter(Place::kDelta);
+      return this->Enter(Position::kDelta);
     }
-    if (this->At(Place::kEvent, Key::kUsage)) {
+    if (this->At(Position::kEvent, Key::kUsage)) {
       this->part.usage.emplace();
-      return this->Enter(Place::kUsage);
+      return this->Enter(Position::kUsage);
     }
-    if (this->At(Place::kUsage, Key::kPromptTokensDetails)) {
-      return this->Enter(Place::kUsageDetails);
+    if (this->At(Position::kUsage, Key::kPromptTokensDetails)) {
+      return this->Enter(Position::kUsageDetails);
     }
-    return this->OnOddValue() && this->Enter(Place::kSkipped);
+    return this->OnUnexpectedValue() && this->Enter(Position::kSkipped);
   }
 
   bool start_array(std::size_t) override {
-    if (this->At(Place::kEvent, Key::kChoices)) {
-      return this->Enter(Place::kChoices);
+    if (this->At(Position::kEvent, Key::kChoices)) {
+      return this->Enter(Position::kChoices);
     }
-    return this->OnOddValue() && this->Enter(Place::kSkipped);
+    return this->OnUnexpectedValue() && this->Enter(Position::kSkipped);
   }
 
   bool end_object() override { return this->Leave(); }
@@ -162,38 +167,39 @@
   }
 
  private:
-  bool At(Place wanted, Key key) const {
-    return this->place == wanted && this->last_key == key;
+  bool At(Position wanted, Key key) const {
+    return this->position == wanted && this->last_key == key;
   }
 
   // An event is an object, and choices are objects.
   bool TakesValue() const {
-    return this->place != Place::kOutside && this->place != Place::kChoices;
+    return this->position != Position::kOutside &&
+           this->position != Position::kChoices;
   }
 
-  // A value that reads as the empty one, but for these.
-  bool OnOddValue() const {
+  // Accepts a value that reads as the empty value, except for these keys.
+  bool OnUnexpectedValue() const {
     return this->TakesValue() &&
-           !this->At(Place::kChoice, Key::kFinishReason) &&
-           !this->At(Place::kEvent, Key::kChoices);
+           !this->At(Position::kChoice, Key::kFinishReason) &&
+           !this->At(Position::kEvent, Key::kChoices);
   }
 
-  bool Enter(Place next) {
-    this->outer.push_back(this->place);
-    this->place = next;
+  bool Enter(Position next) {
+    this->outer.push_back(this->position);
+    this->position = next;
     return true;
   }
 
   bool Leave() {
-    this->place = this->outer.back();
+    this->position = this->outer.back();
     this->outer.pop_back();
     return true;
   }
 
-  Place place = Place::kOutside;
-  std::vector<Place> outer;  // the places around `place`
+  Position position = Position::kOutside;
+  std::vector<Position> outer;  // the positions around `position`
   Key last_key = Key::kOther;
-  std::uint32_t seen = 0;  // keys, as bits
+  std::uint32_t seen = 0;  // keys seen, as bits
   std::uint32_t choices = 0;
   bool has_delta = false;
   std::string delta_text;
--- a/src/engine/internal/usual_stream_part.h
+++ b/src/engine/internal/usual_stream_part.h
@@ -8,10 +8,10 @@
 
 namespace acacialug::engine {
 
-// Reads an event of the form that a stream consists of, at most one choice of
-// index 0, without building a tree of its JSON: of an agent's time on a token,
-// the tree was a quarter. Empty for whatever has another form or a fault; what
-// it means is then for ParseStreamPart to say. Thread safe.
+// Reads an event of the form that makes up most of a stream, at most one choice
+// of index 0, without building a tree of its JSON: the tree took a quarter of
+// an agent's time for a token. Returns empty for an event of another form or
+// with a fault; ParseStreamPart then interprets it. Thread safe.
 std::optional<StreamPart> ReadUsualStreamPart(std::string_view data);
 
 }  // namespace acacialug::engine
--- a/src/engine/tests/openai_engine_test.cc
+++ b/src/engine/tests/openai_engine_test.cc
@@ -74,9 +74,8 @@
   };
 }
 
-// Sends events until more of them stay unsent than a reader takes at a time,
-// which is when the sockets of both sides hold all that they can; returns how
-// many were sent.
+// Sends events until more of them stay unsent than a reader takes at a time:
+// then the sockets of both sides are full. Returns the number of events sent.
 std::size_t SendUntilUnread(http::Responder& responder) {
   constexpr std::size_t kMaxEvents = 20000;
   constexpr std::size_t kBatch = 100;
@@ -92,8 +91,8 @@
   return sent;
 }
 
-// Waits for `count` events. Each wait is for one more of them, so that a slow
-// machine passes, and one that stands still does not.
+// Waits for `count` events. Each wait is for one further event, so a slow
+// machine passes and a stalled machine fails.
 void AwaitEvents(const EngineUnderTest& under_test, std::size_t count) {
   while (under_test.events.size() < count) {
     const std::size_t before = under_test.events.size();
@@ -111,7 +110,7 @@
           .max_event_bytes = 1000};
 }
 
-// What the engine was sent for a command.
+// The body that the engine received for a command.
 Json SentBody(const EngineCommand& command) {
   ScriptedServer server(Whole(500, ""));
   EngineUnderTest under_test(Options(server.address()));
@@ -119,7 +118,7 @@
   return Json::parse(server.requests.front().body);
 }
 
-// A member of the body that the engine is sent; null: none.
+// A member of the body that the engine receives; null: no such member.
 struct BodyRow {
   std::string name;
   EngineCommand command;
@@ -202,7 +201,7 @@
                         "/kv_transfer_params/do_remote_decode", true}},
                       BodyName,
                       CheckBody),
-     It("tells the export, its size and the usage",
+     It("reports the export, its size and the usage",
         [] {
           ScriptedServer server(Whole(200, kPrefillAnswer));
           EngineUnderTest under_test(Options(server.address()));
@@ -266,7 +265,7 @@
           CPPUNIT_ASSERT(failed.code == ResultCode::kInvalidParameter);
           CPPUNIT_ASSERT(failed.outcome == Outcome::kNotRun);
         }),
-     It("tells each text once, in order, then its end",
+     It("sends each text once, in order, then its end",
         [] {
           ScriptedServer server(Stream(kWholeStream, Ending::kEnd));
           EngineUnderTest under_test(Options(server.address()));
@@ -332,7 +331,7 @@
            ResultCode::kExportExpired}},
          FaultName,
          [](const FaultRow& row) { CheckFault(row, kDecode); }),
-     It("tells nothing more after it failed or ended", [] {
+     It("sends no event after it failed or ended", [] {
        for (const std::string& data : {kWholeStream + TextEvent("late"),
                                        "data: {\n\n" + TextEvent("late")}) {
          ScriptedServer server(Stream(data, Ending::kOpen));
@@ -347,7 +346,7 @@
 
 const testing::Story kAbortStory(
     "an abort on an OpenAI-compatible engine",
-    {It("closes the connection, names the attempt, and silences it",
+    {It("closes the connection, names the attempt, and stops its events",
         [] {
           ScriptedServer server(Stream(TextEvent(" a"), Ending::kOpen));
           EngineUnderTest under_test(Options(server.address()));
@@ -376,10 +375,10 @@
           RunUntil([&] { return server.Count("/abort_requests") == 1; });
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, events);
         }),
-     It("is sent again until the engine takes it", [] {
-       // Symptom: KV memory stays held for a request that is gone.
-       // Sequence: the engine answers an abort with 500, or not at all.
-       // Cause: an abort sent once and forgotten.
+     It("is sent again until the engine accepts it", [] {
+       // Guards against KV memory that stays held for a request that has ended.
+       // The engine answers an abort with 500, or not at all, and the abort was
+       // sent only once.
        int answers = 0;
        ScriptedServer server(
            [&answers](const auto&, const http::ResponderPtr& responder) {
@@ -456,7 +455,7 @@
           CPPUNIT_ASSERT(state.fencing_token == LogOffset(8) && state.loading);
           CPPUNIT_ASSERT(state.adapters == std::vector<std::string>{"a"});
         }),
-     It("tell that an engine is not there, and that nothing ran", [] {
+     It("report that an engine is unreachable and that nothing ran", [] {
        EngineUnderTest under_test(Options(ClosedAddress()));
        for (const EngineCommand& command :
             {EngineCommand(kPrefill), EngineCommand(kDecode)}) {
--- a/src/engine/tests/plain_engine_test.cc
+++ b/src/engine/tests/plain_engine_test.cc
@@ -93,14 +93,14 @@
            CPPUNIT_ASSERT(failed.outcome == Outcome::kUnknown);
            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server.requests.size());
          }),
-     It("did not run when nobody listens",
+     It("did not run when no server listens",
         [] {
           EngineUnderTest under_test(Options(ClosedAddress()));
           const auto failed = under_test.Await<AttemptFailed>(kCall);
           CPPUNIT_ASSERT(failed.code == ResultCode::kEngineUnavailable);
           CPPUNIT_ASSERT(failed.outcome == Outcome::kNotRun);
         }),
-     It("is cut by an abort, and then silent",
+     It("is cut by an abort and then sends no event",
         [] {
           ScriptedServer server([](const auto&, const auto&) {});
           EngineUnderTest under_test(Options(server.address()));
--- a/src/engine/tests/scripted_server.h
+++ b/src/engine/tests/scripted_server.h
@@ -17,7 +17,7 @@
 }
 
 // An HTTP server on the test's own thread that answers by a script and keeps
-// what it was asked.
+// the requests that it received.
 struct ScriptedServer {
   using Script =
       std::function<void(const http::Request&, const http::ResponderPtr&)>;
@@ -46,7 +46,7 @@
     return options;
   }
 
-  // How many requests came for a target.
+  // The number of requests received for a target.
   std::size_t Count(std::string_view target) const {
     std::size_t count = 0;
     for (const http::Request& request : this->requests) {
@@ -60,7 +60,7 @@
   }
 };
 
-// An adapter under test and the events it told.
+// An adapter under test and the events that it sent.
 struct EngineUnderTest {
   std::unique_ptr<IEngine> engine;
   std::vector<EngineEvent> events;
@@ -92,7 +92,7 @@
   }
 };
 
-// The address of a port where nobody listens.
+// The address of a port on which no server listens.
 inline http::Address ClosedAddress() {
   return ScriptedServer([](const auto&, const auto&) {}).address();
 }
--- a/src/engine/tests/usual_stream_part_test.cc
+++ b/src/engine/tests/usual_stream_part_test.cc
@@ -15,7 +15,7 @@
 struct Event {
   std::string name;
   std::string data;
-  bool usual = false;  // read without a tree
+  bool usual = false;  // read without a JSON tree
   bool good = true;
   std::string text;
   std::optional<FinishReason> reason;
--- a/src/engine/types/engine_messages.h
+++ b/src/engine/types/engine_messages.h
@@ -12,7 +12,7 @@
 
 namespace acacialug::engine {
 
-// ---- what an agent asks of the engine beside it ----
+// Commands from an agent to the engine beside it.
 
 // Computes the prompt and exports its KV cache.
 struct Prefill {
@@ -27,8 +27,8 @@
   protocol::KvHandle kv;
 };
 
-// Frees what the attempt holds in the engine: a running prefill or stream,
-// and an export not yet fetched. Safe to repeat.
+// Frees what the attempt holds in the engine: a running prefill or stream, and
+// an export that was not fetched yet. Safe to repeat.
 struct Abort {
   AttemptId attempt;
 };
@@ -44,10 +44,11 @@
   protocol::ServiceRequest request;
 };
 
-// Asks which attempts the engine holds, exports included.
+// Lists the attempts that the engine holds, including exports.
 struct ListHeld {};
 
-// Brings the engine to this state; `fencing_token` is the manifest's offset.
+// Brings the engine to this state; `fencing_token` is the offset of the
+// manifest.
 struct Order {
   LogOffset fencing_token;
   ModelName model;
@@ -56,7 +57,7 @@
   std::string role;
 };
 
-// Asks which model, version, adapters and role the engine has.
+// Queries the model, version, adapters and role of the engine.
 struct ReadState {};
 
 using EngineCommand = std::variant<Prefill,
@@ -68,7 +69,7 @@
                                    Order,
                                    ReadState>;
 
-// ---- what the engine tells ----
+// Events from the engine.
 
 struct PrefillDone {
   AttemptId attempt;
@@ -93,8 +94,8 @@
   protocol::ServiceAnswer answer;
 };
 
-// `outcome` is kNotRun only when no byte of the request left the agent, or
-// the engine itself said that it did not run it.
+// `outcome` is kNotRun only when no byte of the request left the agent, or when
+// the engine itself reported that it did not run the request.
 struct AttemptFailed {
   AttemptId attempt;
   ResultCode code = ResultCode::kEngineFailed;
@@ -112,7 +113,7 @@
 };
 
 struct EngineState {
-  ResultCode code = ResultCode::kOk;  // kEngineUnavailable when not read
+  ResultCode code = ResultCode::kOk;  // kEngineUnavailable if unread
   LogOffset fencing_token;
   ModelName model;
   std::string version;
--- a/src/engine/types/engine_options.h
+++ b/src/engine/types/engine_options.h
@@ -20,15 +20,16 @@
 struct EngineOptions {
   EngineKind kind = EngineKind::kOpenAi;
   http::Address address;
-  EndpointId endpoint;                   // named in the KV handles it exports
+  EndpointId endpoint;                   // named in exported KV handles
   std::uint64_t kv_bytes_per_token = 0;  // of the service's model
   Duration connect_timeout = 2s;
-  // A prefill, call or order without a byte of an answer for so long has
-  // failed. Streams are watched by the agent instead; it also limits prefills
-  // and calls, so that this is for a peer that is gone without a word.
+  // A prefill, call or order fails when no byte of its answer arrives for this
+  // time. Streams are excluded, since the agent watches their progress; the
+  // agent also limits prefills and calls, so this timeout covers a peer that
+  // disappears without closing the connection.
   Duration silence_timeout = 60s;
-  // An abort that did not reach the engine is tried again, after this long at
-  // first and twice as long each time, up to the second.
+  // An abort that did not reach the engine is retried after `min_abort_retry`.
+  // The delay doubles with each retry, up to `max_abort_retry`.
   Duration min_abort_retry = 200ms;
   Duration max_abort_retry = 5s;
   std::size_t max_event_bytes = std::size_t{1} << 20;  // one server-sent event
--- a/src/once/claim_coordinator.h
+++ b/src/once/claim_coordinator.h
@@ -17,14 +17,14 @@
 
 namespace acacialug::once {
 
-// Names one claim that somebody waits for.
+// Names one claim for which a request waits.
 using ClaimToken = Number<struct ClaimTokenTag>;
 
 enum class ClaimVerdict : std::uint8_t {
   kWon,          // this claim holds the key: it may be dispatched to its home
-  kHeld,         // another claim holds it: ask its home what became of it
+  kHeld,         // another claim holds it: query its home for the outcome
   kReused,       // the key is held for a different request
-  kUnavailable,  // not claimed, or not known in time: nothing may be run
+  kUnavailable,  // not claimed, or unknown in time: must not be run
 };
 inline constexpr EnumNames<ClaimVerdict, 4> kClaimVerdictNames = {{
     {ClaimVerdict::kWon, "won"},
@@ -33,7 +33,7 @@
     {ClaimVerdict::kUnavailable, "unavailable"},
 }};
 
-// ---- what a coordinator asks of the process around it ----
+// Actions that a coordinator requests from the process around it.
 
 struct AppendBatch {
   std::uint64_t batch = 0;  // names the append in OnAppended
@@ -53,7 +53,7 @@
 using CoordinatorAction = std::variant<AppendBatch, ReadClaims, ClaimSettled>;
 
 struct CoordinatorOptions {
-  // Claims that come within this time share one append: at any rate of claims
+  // Claims that arrive within this time share one append: at any rate of claims
   // a process makes at most 1 / commit_interval appends a second.
   Duration commit_interval = 20ms;
   std::size_t max_batch = 256;
@@ -65,23 +65,23 @@
   ClaimTable::Options table;
 };
 
-// Claims keys on the platform's log for all shards of one process: group
-// commit, then reading the stream until the own batch is seen. A lost append
-// answer is never guessed about: a void record is appended, and whichever of
-// the two stands first in the log decides. No I/O; not thread safe (its owner
-// holds one lock around it); `now` never goes backwards.
+// Claims keys on the platform's log for all shards of one process: commits
+// claims in groups, then reads the stream until it sees its own batch. The
+// outcome of an append whose answer was lost is never guessed: a void record is
+// appended, and the record that comes first in the log decides. No I/O; not
+// thread safe (its owner holds one lock around it); `now` never goes backwards.
 class ClaimCoordinator {
  public:
   ClaimCoordinator(CoordinatorOptions options, RandomSource& random);
 
-  // Begins to read the stream. Claims are refused until its end was reached
-  // once: before that an old claim could be missed.
+  // Begins to read the stream. Claims are refused until the end of the stream
+  // was reached once: before that an old claim could be missed.
   void Start(Instant now);
 
-  // Settles by a ClaimSettled action. `claim.id` is chosen here.
+  // Ends with a ClaimSettled action. `claim.id` is chosen here.
   void Request(ClaimToken token, Claim claim, Instant now);
 
-  // The waiting request is gone; a claim already appended stays.
+  // The waiting request has ended; a claim that is already appended stays.
   void Forget(ClaimToken token);
 
   // kPlatformUnavailable: provably not appended. kAppendUnresolved: unknown.
@@ -121,10 +121,12 @@
   RandomSource& random;
   ClaimTable claim_table;
   std::map<ClaimToken, Waiting> waiting;
-  // One timeout for all, so that deadlines come in the order of requests.
+  // All claims have the same timeout, so deadlines are in the order of
+  // requests.
   std::deque<std::pair<Instant, ClaimToken>> deadlines;
   std::vector<ClaimToken> uncommitted;
-  // Batches whose append is under way or unresolved, with what they wait for.
+  // Batches whose append is running or unresolved, with the claims that wait
+  // for them.
   std::map<std::uint64_t, std::vector<ClaimToken>> in_flight;
   std::map<std::uint64_t, std::uint64_t> voids;  // void batch -> voided batch
   std::vector<std::uint64_t> voids_due;  // batches to be voided at void_at
--- a/src/once/claim_table.h
+++ b/src/once/claim_table.h
@@ -13,14 +13,14 @@
 
 namespace acacialug::once {
 
-// Who holds which piece of work: a pure function of the claims stream, so
+// The holder of each piece of work: a pure function of the claims stream, so
 // that every entry names the same holder. The first claim on a key wins; a
-// claim that replaces another wins only if it names the holder's position.
-// A batch that was voided before it came counts for nothing.
+// claim that replaces another wins only if it names the holder's position. A
+// batch whose void comes before it has no effect.
 //
 // Keys are dropped `window` after this process read them; the log keeps its
-// records at least that long, and keys older than the window are refused
-// before they get here. Not thread safe; no I/O.
+// records at least that long, and keys older than the window are refused before
+// they reach this table. Not thread safe; no I/O.
 class ClaimTable {
  public:
   struct Options {
@@ -36,12 +36,13 @@
 
   explicit ClaimTable(Options table_options) : options(table_options) {}
 
-  // Applies the record at `offset`; an offset already applied is ignored.
-  // Precondition: no record between was left out. Any bytes may come; what is
-  // no batch counts for nothing, for every reader alike.
+  // Applies the record at `offset`; an offset that is already applied is
+  // ignored. Precondition: no record between was left out. The payload may hold
+  // any bytes; a payload that is not a batch has no effect, for every reader
+  // alike.
   void Apply(LogOffset offset, const std::string& payload, Instant now);
 
-  // Null when nobody holds the key. Valid until the next Apply.
+  // Null when the key has no holder. Valid until the next Apply.
   const Holder* Find(const WorkKey& key) const;
 
   bool HasBatch(std::uint64_t batch_id) const;
--- a/src/once/internal/claim_coordinator.cc
+++ b/src/once/internal/claim_coordinator.cc
@@ -18,19 +18,20 @@
 
 void ClaimCoordinator::Request(ClaimToken token, Claim claim, Instant now) {
   claim.id = this->random.Next() | 1U;
-  Waiting wish{.claim = std::move(claim)};
-  const ClaimTable::Holder* holder = this->claim_table.Find(wish.claim.key);
+  Waiting waiting_claim{.claim = std::move(claim)};
+  const ClaimTable::Holder* holder =
+      this->claim_table.Find(waiting_claim.claim.key);
   const bool taken =
-      holder != nullptr && !(wish.claim.replaces == holder->position);
+      holder != nullptr && !(waiting_claim.claim.replaces == holder->position);
   if (!this->ready() || this->waiting.size() >= this->options.max_pending) {
     this->Settle(token, ClaimVerdict::kUnavailable);
     return;
   }
   if (taken) {
-    this->SettleKnown(token, wish);
+    this->SettleKnown(token, waiting_claim);
     return;
   }
-  this->waiting.emplace(token, std::move(wish));
+  this->waiting.emplace(token, std::move(waiting_claim));
   this->deadlines.emplace_back(now + this->options.claim_timeout, token);
   this->uncommitted.push_back(token);
   if (this->uncommitted.size() >= this->options.max_batch) {
@@ -49,16 +50,18 @@
   this->actions.emplace_back(ClaimSettled{.token = token, .verdict = verdict});
 }
 
-void ClaimCoordinator::SettleKnown(ClaimToken token, const Waiting& wish) {
-  const ClaimTable::Holder* holder = this->claim_table.Find(wish.claim.key);
+void ClaimCoordinator::SettleKnown(ClaimToken token,
+                                   const Waiting& waiting_claim) {
+  const ClaimTable::Holder* holder =
+      this->claim_table.Find(waiting_claim.claim.key);
   if (holder == nullptr) {
     this->Settle(token, ClaimVerdict::kUnavailable);
     return;
   }
   ClaimVerdict verdict = ClaimVerdict::kHeld;
-  if (holder->fingerprint != wish.claim.fingerprint) {
+  if (holder->fingerprint != waiting_claim.claim.fingerprint) {
     verdict = ClaimVerdict::kReused;
-  } else if (holder->claim_id == wish.claim.id) {
+  } else if (holder->claim_id == waiting_claim.claim.id) {
     verdict = ClaimVerdict::kWon;
   }
   this->actions.emplace_back(ClaimSettled{.token = token,
@@ -117,9 +120,9 @@
   this->Append(batch);
 }
 
-// The batch may stand in the log, may come later, or may never come. Reading
-// alone cannot tell the last two apart; behind the void it no longer matters,
-// since every reader passes over a voided batch.
+// The batch may be in the log, may appear later, or may never appear. Reading
+// alone cannot distinguish the last two; after the void the difference does not
+// matter, since every reader skips a voided batch.
 void ClaimCoordinator::AppendVoid(std::uint64_t batch) {
   const ClaimBatch mark{.id = this->random.Next() | 1U, .voids = batch};
   this->voids.emplace(mark.id, batch);
@@ -135,10 +138,10 @@
                      });
 }
 
-// A void that is itself not known to stand there is tried again while anybody
-// waits; when nobody does, nobody will act on the batch, and it is not needed.
-// The second try comes at once, further ones ever later: a log that is out
-// answers faster than a core can ask.
+// A void that is not known to be in the log is retried while any request waits;
+// without one, no process acts on the batch and the void is not needed. The
+// second try is immediate, and the delay of further tries grows: a log that is
+// down can answer faster than a core can send requests.
 void ClaimCoordinator::OnVoidFailed(std::uint64_t voided, Instant now) {
   if (!this->HasWaiters(voided)) {
     this->in_flight.erase(voided);
@@ -222,9 +225,9 @@
   }
   this->retry_delay = {};
   const LogOffset through = this->claim_table.applied_through();
-  // A gap in what was read while serving: a claim in it may have been missed,
-  // and a key run twice. This process claims nothing more; a fresh start
-  // reads from the log's oldest record, which covers the stated window.
+  // The records read while serving have a gap: a claim in it may have been
+  // missed, and a key run twice. This process makes no further claims; a fresh
+  // start reads from the log's oldest record, which covers the stated window.
   if (through.value > 0 && read->first_kept.value > through.value + 1) {
     this->truncated = true;
   }
--- a/src/once/internal/claim_table.cc
+++ b/src/once/internal/claim_table.cc
@@ -17,15 +17,16 @@
     return;
   }
   if (batch->voids != 0) {
-    // A batch that came first stays: whoever claimed by it may have run.
+    // A batch that came before its void stays: the process that claimed by it
+    // may have run the work.
     if (!this->HasBatch(batch->voids)) {
       this->voided.insert(batch->voids);
       this->aging.push_back({.read_at = now, .batch = batch->voids});
     }
     return;
   }
-  // The same batch twice: its sender's first append took effect although its
-  // answer was lost. The second counts for nothing.
+  // The same batch appears twice: the sender's first append took effect
+  // although its answer was lost. The second copy has no effect.
   if (this->IsVoid(batch->id) || !this->batches.insert(batch->id).second) {
     return;
   }
@@ -42,7 +43,7 @@
   const auto found = this->holders.find(claim.key);
   if (found == this->holders.end()) {
     // A claim that replaces one which this log no longer holds is beyond the
-    // window: nobody may run it any more.
+    // window: no process may run it any more.
     if (claim.replaces == ClaimPosition{}) {
       this->holders.emplace(claim.key, Holder{.position = position,
                                               .claim_id = claim.id,
--- a/src/once/internal/work_key.cc
+++ b/src/once/internal/work_key.cc
@@ -15,8 +15,8 @@
 constexpr std::size_t kMaxTicketText = 512;
 constexpr unsigned kTicketTimeShift = 16;  // 48 bits of time before it
 
-// Parts are preceded by their lengths: without them "ab","c" and "a","bc"
-// would be one key.
+// Each part is preceded by its length: otherwise "ab","c" and "a","bc" would be
+// the same key.
 class Digest {
  public:
   void Add(std::string_view part) {
--- a/src/once/tests/claim_coordinator_test.cc
+++ b/src/once/tests/claim_coordinator_test.cc
@@ -27,7 +27,7 @@
           .replaces = replaces};
 }
 
-// The platform's log as a plain list.
+// The platform's log as a list in memory.
 struct Log {
   std::vector<std::string> records;
   std::uint64_t first_kept = 1;
@@ -49,8 +49,8 @@
   }
 };
 
-// One entry's coordinator on a shared log. Appends wait until the test lets
-// them through; the open read is answered by Poll.
+// The coordinator of one entry on a shared log. An append waits until the test
+// lets it take effect; Poll answers the open read.
 struct Entry {
   Log& log;
   RandomSource random;
@@ -108,7 +108,7 @@
     this->Collect();
   }
 
-  // Lets the oldest append take effect and be answered.
+  // Lets the oldest append take effect and answers it.
   void Append() {
     const AppendBatch append = this->TakeAppend();
     this->Answer(append, this->log.Append(append.payload));
@@ -138,10 +138,9 @@
             CPPUNIT_ASSERT(ClaimVerdict::kWon == entry.VerdictOf(i));
           }
         }),
-     // Symptom: one ISBN order ran twice.
-     // Sequence: the caller sent it to two entries at once; both claimed, and
-     // each saw its append answered.
-     // Cause: an answered append was taken for a won claim.
+     // Guards against running one ISBN order twice. The caller sent it to two
+     // entries at once; both claimed it and saw their appends answered. An
+     // answered append was mistaken for a won claim.
      It("of one key on two entries have one winner, whatever the answers' "
         "order",
         [] {
@@ -160,7 +159,7 @@
           CPPUNIT_ASSERT(ClaimVerdict::kWon == second.VerdictOf(1));
           CPPUNIT_ASSERT(EndpointId("e2") == first.settled.at(1).home.endpoint);
         }),
-     It("of one key for another request are told apart",
+     It("of one key for another request are distinguished",
         [] {
           Log log;
           Entry entry(log, 1);
@@ -174,10 +173,10 @@
         }),
      Section(
          "whose append answer is lost",
-         {// Symptom: a billed summary ran twice after a log outage.
-          // Sequence: the append took effect, its answer was lost; the
-          // entry told the caller "not run", who sent the order again.
-          // Cause: a lost answer was taken for a failed append.
+         {// Guards against running a billed summary twice after a log outage.
+          // The append took effect, but its answer was lost; the entry
+          // answered "not run", and the caller sent the order again.
+          // A lost answer was mistaken for a failed append.
           It("are won when the log shows them",
              [] {
                Log log;
@@ -191,7 +190,7 @@
                entry.Poll();
                CPPUNIT_ASSERT(ClaimVerdict::kWon == entry.VerdictOf(1));
              }),
-          It("count for nothing when they come behind their void",
+          It("have no effect when they come after their void",
              [] {
                Log log;
                Entry entry(log, 1);
@@ -207,7 +206,7 @@
                other.Poll();
                CPPUNIT_ASSERT(other.coordinator.table().Find(kKey) == nullptr);
              }),
-          It("are settled even if the void's own answer is lost as well",
+          It("are settled even if the answer to the void is lost as well",
              [] {
                Log log;
                Entry entry(log, 1);
@@ -221,11 +220,11 @@
                entry.Poll();
                CPPUNIT_ASSERT(ClaimVerdict::kUnavailable == entry.VerdictOf(1));
              }),
-          // Symptom: in a log outage an entry burnt a core, and the log's
-          // gate drowned in appends. Sequence: an append's answer is lost,
-          // then the log refuses each append at once. Cause: a void that
-          // failed was appended again at once, for as long as the outage
-          // lasted, though nobody waited for it any more.
+          // Guards against an entry that uses a whole core in a log outage,
+          // while the log's admission is flooded with appends. An append's
+          // answer is lost, then the log refuses each append at once. A failed
+          // void was appended again at once for the whole outage, though no
+          // request waited for it any more.
           ForEach<ResultCode>(
               "are voided at a pace, and only while somebody waits, when "
               "each append is answered by",
@@ -268,7 +267,7 @@
           CPPUNIT_ASSERT(ClaimVerdict::kUnavailable ==
                          std::get<ClaimSettled>(actions.at(0)).verdict);
         }),
-     It("that nobody settles are refused when their time is over",
+     It("that stay unsettled are refused when their time ends",
         [] {
           Log log;
           Entry entry(log, 1);
@@ -276,7 +275,7 @@
           entry.Wait(20ms);
           entry.Wait(2s);
           CPPUNIT_ASSERT(ClaimVerdict::kUnavailable == entry.VerdictOf(1));
-          entry.Append();  // took effect after all: the claim stands
+          entry.Append();  // took effect late: the claim is valid
           entry.Poll();
           CPPUNIT_ASSERT(entry.coordinator.table().Find(kKey) != nullptr);
         }),
@@ -302,9 +301,9 @@
           CPPUNIT_ASSERT(ClaimVerdict::kWon == other.VerdictOf(2));
           CPPUNIT_ASSERT(EndpointId("e3") == entry.settled.at(2).home.endpoint);
         }),
-     // Symptom: a key ran twice on a day on which the log dropped records
-     // early. Sequence: an entry was paused; the claim stood in the records it
-     // missed. Cause: it went on claiming over the gap.
+     // Guards against running a key twice on a day on which the log dropped
+     // records early. An entry was paused, and the claim was in the records
+     // that it missed. It continued to claim after the gap.
      It("are refused by a process that has missed records", [] {
        Log log;
        Entry entry(log, 1);
--- a/src/once/tests/work_key_test.cc
+++ b/src/once/tests/work_key_test.cc
@@ -50,7 +50,7 @@
                row.code ==
                (status.ok() ? ResultCode::kOk : status.error().result_code()));
          }),
-     It("names other work for another caller, service or split of the two", [] {
+     It("names other work for another caller, service or split of both", [] {
        const WorkKey key = MakeWorkKey(CallerName("ab"), ServiceName("c"), "k");
        CPPUNIT_ASSERT(key ==
                       MakeWorkKey(CallerName("ab"), ServiceName("c"), "k"));
@@ -70,9 +70,9 @@
               random);
           CPPUNIT_ASSERT(ParseTicket(EncodeTicket(ticket)) == ticket);
         }),
-     // Symptom: a ticket ran twice, a day apart. Sequence: the agent kept
-     // running, and its ledger dropped the key after its window. Cause: a
-     // ticket's age could not be told.
+     // Guards against running a ticket twice, a day apart. The agent kept
+     // running, and its ledger dropped the key after its window. The age of a
+     // ticket could not be determined.
      It("is refused when its home may have forgotten it",
         [] {
           RandomSource random(3);
--- a/src/once/types/claim.h
+++ b/src/once/types/claim.h
@@ -14,7 +14,7 @@
 namespace acacialug::once {
 
 // Digest of caller, service and the caller's own key: equal digests mean the
-// same piece of work.
+// same work.
 struct WorkKey {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -22,7 +22,8 @@
   friend auto operator<=>(const WorkKey&, const WorkKey&) = default;
 };
 
-// Where a claim stands in the stream: record, and place in its batch.
+// The position of a claim in the stream: its record, and its index in the
+// batch.
 struct ClaimPosition {
   LogOffset offset;
   std::uint32_t index = 0;
@@ -30,8 +31,8 @@
   friend auto operator<=>(const ClaimPosition&, const ClaimPosition&) = default;
 };
 
-// The endpoint that alone may run the work, and the start of its agent: a
-// replaced agent knows nothing of what its predecessor ran.
+// The only endpoint that may run the work, and the start of its agent: an agent
+// that replaces it has no record of the work that its predecessor ran.
 struct Home {
   EndpointId endpoint;
   Incarnation agent;
@@ -39,21 +40,21 @@
   friend auto operator<=>(const Home&, const Home&) = default;
 };
 
-// One wish to run a piece of work. `replaces` is zero for the first claim;
-// else it names the claim whose home provably did not run it.
+// One intent to run a piece of work. `replaces` is zero for the first claim;
+// otherwise it names the claim whose home provably did not run the work.
 struct Claim {
   WorkKey key;
   std::uint64_t fingerprint = 0;  // of the request
-  std::uint64_t id = 0;           // random; tells the claimer its own claim
+  std::uint64_t id = 0;           // random; identifies the claim to its claimer
   Home home;
   ClaimPosition replaces;
 
   friend bool operator==(const Claim&, const Claim&) = default;
 };
 
-// One record of the claims stream: claims that were committed together, or
-// (`voids` not zero) a mark that an earlier batch of that id, if it is not
-// before this record, counts for nothing.
+// One record of the claims stream: claims that were committed together, or (if
+// `voids` is not zero) a mark that the batch of that id has no effect unless it
+// is before this record.
 struct ClaimBatch {
   std::uint64_t id = 0;  // random
   std::uint64_t voids = 0;
@@ -62,8 +63,8 @@
   friend bool operator==(const ClaimBatch&, const ClaimBatch&) = default;
 };
 
-// Thread safe, both. Errors: kPlatformBadAnswer for any payload that is no
-// such JSON object.
+// Both are thread safe. Errors: kPlatformBadAnswer for a payload that is not
+// such a JSON object.
 std::string EncodeBatch(const ClaimBatch& batch);
 Result<ClaimBatch> DecodeBatch(std::string_view payload);
 
@@ -72,7 +73,7 @@
 template <>
 struct std::hash<acacialug::once::WorkKey> {
   std::size_t operator()(const acacialug::once::WorkKey& key) const noexcept {
-    return key.high ^ key.low;  // a digest's bits already
+    return key.high ^ key.low;  // already the bits of a digest
   }
 };
 
--- a/src/once/work_key.h
+++ b/src/once/work_key.h
@@ -18,29 +18,29 @@
 using WallMilliseconds = std::chrono::milliseconds;
 
 // The work that a caller's key names: SHA-256 of caller, service and key, cut
-// to 128 bits, so that no caller can meet another's key. A UUID is the same in
-// capitals (RFC 9562), and so is the work that it names. Thread safe.
+// to 128 bits, so that the keys of two callers never collide. A UUID in
+// capitals is the same UUID (RFC 9562) and names the same work. Thread safe.
 WorkKey MakeWorkKey(const CallerName& caller,
                     const ServiceName& service,
                     std::string_view caller_key);
 
-// Digest of what a call asks for (method, target, body): the same key with
-// another digest is a caller's mistake. Thread safe.
+// Digest of what a call requests (method, target, body): the same key with
+// another digest is an error of the caller. Thread safe.
 std::uint64_t FingerprintOf(const protocol::ServiceRequest& request);
 
 // Checks a caller's own key. It must be a UUID of version 7 (RFC 9562), which
 // carries the time at which it was made: the log keeps claims for a limited
 // time, and a key from before that time could otherwise run a second time.
 // Errors: kInvalidHeader for another form or a time more than `skew` ahead;
-// kKeyTooOld for one older than `window`. Thread safe.
+// kKeyTooOld for a key older than `window`. Thread safe.
 Status CheckCallerKey(std::string_view caller_key,
                       WallMilliseconds now,
                       WallMilliseconds window,
                       WallMilliseconds skew);
 
-// A right to run one piece of work on one start of one agent. It holds its
-// home by value, so that it needs no log: a replaced agent leaves its work
-// unknown for ever.
+// A right to run one piece of work on one start of one agent. It holds its home
+// by value, so it needs no log: once the agent is replaced, the outcome of the
+// work stays unknown.
 struct Ticket {
   WorkKey key;
   Home home;
@@ -48,15 +48,15 @@
   friend bool operator==(const Ticket&, const Ticket&) = default;
 };
 
-// A fresh ticket. Its key begins with the time of issue and goes on with 80
-// random bits, so that its age can be told, and a changed time is another key.
+// Makes a new ticket. Its key consists of the time of issue and 80 random bits,
+// so its age can be determined, and a changed time gives another key.
 Ticket IssueTicket(const Home& home,
                    WallMilliseconds now,
                    RandomSource& random);
 
 // Errors: kKeyTooOld for a ticket older than `window`, which its home's ledger
-// may have forgotten; kTicketInvalid for one more than `skew` ahead. Thread
-// safe.
+// may have forgotten; kTicketInvalid for a ticket more than `skew` ahead.
+// Thread safe.
 Status CheckTicketAge(const Ticket& ticket,
                       WallMilliseconds now,
                       WallMilliseconds window,
