--- a/src/agent/agent_core.h
+++ b/src/agent/agent_core.h
@@ -19,19 +19,19 @@
 
 namespace acacialug::agent {
 
-// Every decision of an agent, without sockets, threads or a clock: typed
-// input and `now` in, typed actions out. The process, the scenarios and the
-// random explorer all run this same class.
+// Makes every decision of an agent, without sockets, threads or a clock: it
+// takes typed input and `now`, and returns typed actions. The process, the
+// scenarios and the random explorer all run this same class.
 //
-// The agent is the only authority over its endpoint: it alone admits work to
-// the engine, holds reservations and exports, keeps the at-most-once ledger,
+// The agent is the only authority over its endpoint: only the agent admits work
+// to the engine, holds reservations and exports, keeps the at-most-once ledger,
 // and gives orders. Not thread safe; `now` never goes backwards.
 class AgentCore {
  public:
   AgentCore(AgentOptions options, RandomSource& random);
   ~AgentCore();
 
-  // Call once before anything else: asks the engine what it holds and aborts
+  // Call once before any other method: lists what the engine holds and aborts
   // all of it, since a fresh agent owns nothing. New work is refused
   // (kNotReady) until the engine has answered.
   void Start(Instant now);
@@ -40,14 +40,15 @@
   void OnMessage(SessionId session,
                  const protocol::EntryToAgent& message,
                  Instant now);
-  // The connection is gone: all that the session's requests hold is freed.
+  // The connection is closed: everything that the session's requests hold is
+  // freed.
   void OnSessionClosed(SessionId session, Instant now);
-  // From here on Welcomes name this UDP port for heartbeats; 0, and before:
-  // sessions are renewed by frames only.
+  // From now on Welcomes name this UDP port for heartbeats. With 0, and before
+  // this call, sessions are renewed by frames only.
   void AcceptHeartbeats(std::uint16_t port);
-  // A datagram, whoever sent it. Renews the sessions that a Hello of the same
-  // process start opened and that have not ended. Empty: renews none, and is
-  // not to be answered.
+  // A datagram from any sender. Renews the sessions that a Hello of the same
+  // process start opened and that have not ended. Empty: it renews no session
+  // and must not be answered.
   std::optional<protocol::HeartbeatAnswer> OnHeartbeat(
       const protocol::Heartbeat& heartbeat,
       Instant now);
@@ -63,12 +64,12 @@
   // Call at or after next_timer().
   void OnTimer(Instant now);
 
-  // A newer manifest is in force (orders, limits, leaving).
+  // A newer manifest is active (orders, limits, leaving).
   void OnManifest(std::shared_ptr<const manifest::Manifest> newest,
                   Instant now);
 
-  // Leaves: refuses new work as kDraining, tells every entry, lets run what
-  // runs until the grace ends.
+  // Leaves: refuses new work as kDraining, notifies every entry, and lets
+  // running work continue until the grace ends.
   void BeginDrain(Instant now);
 
   // Nothing runs and nothing is reserved. Precondition: BeginDrain was called.
@@ -84,18 +85,19 @@
   AgentCounters counters() const;
   OrderStatus order_status() const;
 
-  // The manifest offset above the one in force here that an entry has named
-  // last: the process has to fetch a newer manifest. Not the highest of all:
-  // an entry that names one which never comes must not hide the others' word.
+  // The last manifest offset above the active one that an entry has named: the
+  // process has to fetch a newer manifest. It isn't the highest of all such
+  // offsets: an entry that names a manifest which never arrives must not hide
+  // the reports of the others.
   LogOffset newest_reported_manifest() const;
 
-  // No entry has a session here: nobody tells of newer manifests.
+  // No entry has a session here, so no entry reports newer manifests.
   bool has_no_sessions() const;
 
-  // What the invariant checker of the scenarios looks at: every attempt that
-  // holds a reservation, engine memory, an export or a call here.
+  // The attempts that the invariant checker of the scenarios examines: every
+  // attempt that holds a reservation, engine memory, an export or a call here.
   std::vector<AttemptId> held_attempts() const;
-  // The same with what each holds and for how long, for operators.
+  // The same attempts with what each holds and for how long, for operators.
   std::vector<HeldAttempt> Holdings(Instant now) const;
 
  private:
--- a/src/agent/internal/agent_implementation.cc
+++ b/src/agent/internal/agent_implementation.cc
@@ -35,7 +35,7 @@
       prefill(this->parts),
       calls(this->parts) {}
 
-// ---- inputs ----
+// Inputs.
 
 void AgentCore::Implementation::Start(Instant now) {
   this->audit.Start(now);
@@ -158,7 +158,7 @@
   this->AdvanceOrders(now);
 }
 
-// ---- state ----
+// State.
 
 bool AgentCore::Implementation::Drained() const {
   return this->drain.active() && this->Idle();
@@ -223,14 +223,14 @@
   return all;
 }
 
-// ---- engine events ----
+// Engine events.
 
 void AgentCore::Implementation::On(const engine::PrefillDone& done,
                                    Instant now) {
   if (!this->prefill.OnPrefillDone(done, now)) {
     this->CountUnknown(false);
     if (!this->Holds(done.attempt)) {
-      // Nobody will fetch what it exported.
+      // No request will fetch its export.
       this->parts.Abort(done.attempt, now);
     }
   }
@@ -284,7 +284,7 @@
   }
 }
 
-// ---- ends ----
+// Release of attempts and sessions.
 
 bool AgentCore::Implementation::Holds(const AttemptId& attempt) const {
   return this->decode.Holds(attempt) || this->prefill.Holds(attempt) ||
@@ -311,8 +311,8 @@
 }
 
 void AgentCore::Implementation::FreeSession(SessionId session, Instant now) {
-  // Without this an entry that died keeps its streams running and its
-  // memory reserved: the endpoint looks full while nobody reads.
+  // Without this, an entry that died keeps its streams running and its memory
+  // reserved: the endpoint looks full while no client reads.
   if (!this->options.rules.clean_sessions) {
     return;
   }
@@ -321,15 +321,16 @@
   }
 }
 
-// ---- orders and drain ----
+// Orders and drain.
 
 void AgentCore::Implementation::AdvanceMaintenance(Instant now) {
   if (!this->options.use_maintenance_queue) {
     return;
   }
-  // One that leaves its pool by the manifest is no member: it needs no turn,
-  // and must not give back the one in which it may be out. An agent that only
-  // ends itself leaves its endpoint in the pool, for a successor.
+  // An endpoint that leaves its pool by the manifest is not a member: it needs
+  // no place in the maintenance queue, and must not release the place under
+  // which it may be out of service. An agent that only ends itself leaves its
+  // endpoint in the pool, for a successor.
   const bool leaving = this->leaves_pool;
   const maintenance::MaintenanceIntent intent =
       leaving ? maintenance::MaintenanceIntent::kKeep
@@ -346,10 +347,10 @@
   for (maintenance::MaintenanceAction& action : queue_client.TakeActions()) {
     this->outbox.Submit(std::move(action));
   }
-  const bool may_go = intent == maintenance::MaintenanceIntent::kEnter &&
-                      this->maintenance_permission.MayLeaveService(
-                          this->Idle(), this->orders.out(), now);
-  this->orders.SetMaintenanceGranted(leaving || may_go, now);
+  const bool may_leave = intent == maintenance::MaintenanceIntent::kEnter &&
+                         this->maintenance_permission.MayLeaveService(
+                             this->Idle(), this->orders.out(), now);
+  this->orders.SetMaintenanceGranted(leaving || may_leave, now);
 }
 
 void AgentCore::Implementation::AdvanceOrders(Instant now) {
--- a/src/agent/internal/agent_implementation.h
+++ b/src/agent/internal/agent_implementation.h
@@ -21,10 +21,10 @@
 
 namespace acacialug::agent {
 
-// Composes the parts of an agent: takes each input to the part that it is
-// for. Before any input, whatever has ended by `now` ends: this process may
-// have been paused past a lease that it still believes in. The methods are
-// those of AgentCore.
+// Composes the parts of an agent and passes each input to the part that handles
+// it. Before any input, everything that has ended by `now` is expired: this
+// process may have been paused past the end of a lease that it still counts as
+// valid. The methods are those of AgentCore.
 class AgentCore::Implementation {
  public:
   Implementation(AgentOptions agent_options, RandomSource& random_source);
@@ -87,15 +87,15 @@
   void NoteManifestOffset(LogOffset manifest);
   bool Holds(const AttemptId& attempt) const;
   void CountUnknown(bool known);
-  // Frees all that the attempt holds and closes it.
+  // Frees everything that the attempt holds and closes it.
   void Release(const AttemptId& attempt, Instant now);
   // The core closes the connection itself.
   void EndSession(SessionId session, ResultCode code, Instant now);
   void FreeSession(SessionId session, Instant now);
-  // Tells the pool's order of turns what the engine needs, and the orders
-  // whether their turn has come.
+  // Reports to the pool's maintenance queue what the engine needs, and to the
+  // orders whether their place in the queue permits them.
   void AdvanceMaintenance(Instant now);
-  // Sends the order or question to the engine that is due.
+  // Sends the order or query to the engine that is due.
   void AdvanceOrders(Instant now);
   bool Idle() const;
   void Drain(DrainState::Cause cause, Instant now);
@@ -118,7 +118,7 @@
   CallWork calls;
   std::shared_ptr<const manifest::Manifest> active_manifest;
   protocol::EndpointRole wanted_role = protocol::EndpointRole::kPlain;
-  bool leaves_pool = false;  // by the manifest in force
+  bool leaves_pool = false;  // by the active manifest
   LogOffset newest_reported_manifest;
   std::uint16_t heartbeat_port = 0;
 };
--- a/src/agent/internal/agent_implementation_messages.cc
+++ b/src/agent/internal/agent_implementation_messages.cc
@@ -61,8 +61,8 @@
 std::optional<protocol::HeartbeatAnswer> AgentCore::Implementation::OnHeartbeat(
     const protocol::Heartbeat& heartbeat,
     Instant now) {
-  // First: this process may have been paused, and a heartbeat that waited in
-  // its socket must not renew what has lapsed meanwhile.
+  // Expires first: this process may have been paused, and a heartbeat that
+  // waited in its socket must not renew a session that has lapsed meanwhile.
   this->Expire(now);
   std::optional<protocol::HeartbeatAnswer> answer =
       this->sessions.RenewListed(heartbeat, now);
@@ -110,14 +110,14 @@
   const AttemptId& attempt = start.attempt;
   const std::optional<Admission> admission = this->attempt_admission.Admit(
       session, attempt, EndpointRole::kDecode, Phase::kDecode, now);
-  // What has a reservation was let in before a drain began.
+  // An attempt with a reservation was admitted before a drain began.
   if (!admission ||
       (admission == Admission::kNew &&
        !this->attempt_admission.TakesNew(attempt, Phase::kDecode, now))) {
     return;
   }
-  // Without the reservation nobody knows whether the engine has room: it
-  // would preempt other streams, or let the prefill's export go stale.
+  // Without the reservation it is unknown whether the engine has free capacity:
+  // it would preempt other streams, or let the prefill's export expire.
   const bool may_reserve =
       this->options.reservation == ReservationPolicy::kNone ||
       !this->options.rules.reserve_before_prefill;
@@ -141,7 +141,7 @@
       !this->attempt_admission.IsReady(attempt, Phase::kCall, now)) {
     return;
   }
-  // While draining, a resubmission still learns what became of the call.
+  // While draining, a resubmission still gets the outcome of the call.
   this->calls.OnStartCall(start, !this->drain.active(), now);
 }
 
--- a/src/agent/internal/attempt_admission.cc
+++ b/src/agent/internal/attempt_admission.cc
@@ -78,7 +78,8 @@
                               Instant now) {
   const AttemptTable::Opening opening = this->Open(session, attempt, now);
   if (opening.admission == Admission::kNew) {
-    // The cancel has overtaken its start, or repeats one long done.
+    // The cancel has overtaken its start, or repeats a cancel that was done
+    // before.
     this->parts.attempts.CloseNotRun(attempt, ResultCode::kSuperseded, now);
   }
   this->release(attempt, now);
@@ -129,7 +130,8 @@
                                         Phase phase,
                                         ResultCode code,
                                         Instant now) {
-  // The attempt table stays as it is: it knows the attempt better.
+  // The attempt table stays unchanged, since its record of the attempt is more
+  // accurate.
   ++this->parts.counters.refused;
   this->parts.outbox.Send(
       session,
--- a/src/agent/internal/attempt_admission.h
+++ b/src/agent/internal/attempt_admission.h
@@ -11,13 +11,14 @@
 
 namespace acacialug::agent {
 
-// What every message that starts something passes before its part of the
-// agent sees it: is the attempt the session's own, is it the newest, did it
-// come before, and does the endpoint take such work now. Whatever it turns
-// away it has answered or counted. Not thread safe.
+// Checks every message that starts something before its part of the agent
+// receives it: whether the attempt is the session's own, is the newest, came
+// before, and whether the endpoint takes such work now. A message that it
+// rejects is already answered or counted. Not thread safe.
 class AttemptAdmission {
  public:
-  // Frees what an attempt holds, since a newer one of its request has come.
+  // Frees what an attempt holds, since a newer attempt of its request has
+  // arrived.
   using ReleaseHook = std::function<void(const AttemptId&, Instant)>;
 
   AttemptAdmission(SharedParts& shared_parts,
@@ -26,11 +27,11 @@
                    const EngineOrders& engine_orders,
                    ReleaseHook release_hook);
 
-  // Whether the session may speak of the attempt at all.
+  // Whether the session may name the attempt at all.
   bool IsOwn(SessionId session, const AttemptId& attempt);
 
-  // kNew or kOpen; empty when the message was answered or dropped. `role`
-  // is the one that the endpoint needs for the phase.
+  // kNew or kOpen; empty when the message was answered or dropped. `role` is
+  // the role that the endpoint needs for the phase.
   std::optional<Admission> Admit(SessionId session,
                                  const AttemptId& attempt,
                                  protocol::EndpointRole role,
@@ -44,12 +45,12 @@
                  protocol::Phase phase,
                  Instant now);
 
-  // A cancel: leaves the attempt closed, whether it was known or not.
+  // Handles a cancel: leaves the attempt closed, whether it was known or not.
   // Precondition: IsOwn().
   void Cancel(SessionId session, const AttemptId& attempt, Instant now);
 
-  // The engine was cleaned of a predecessor's work. Refuses if not.
-  // Precondition of this and the next: the attempt was admitted as kNew.
+  // The engine was cleared of a predecessor's work. Refuses if not.
+  // Precondition of this and the next method: the attempt was admitted as kNew.
   bool IsReady(const AttemptId& attempt, protocol::Phase phase, Instant now);
   // IsReady(), the endpoint is not leaving, and its engine has the model.
   bool TakesNew(const AttemptId& attempt, protocol::Phase phase, Instant now);
--- a/src/agent/internal/attempt_table.h
+++ b/src/agent/internal/attempt_table.h
@@ -16,13 +16,13 @@
 
 namespace acacialug::agent {
 
-// What the table says to a message that starts something.
+// The table's verdict on a message that starts something.
 enum class Admission : std::uint8_t {
   kNew,            // first message of this attempt
-  kOpen,           // the attempt is under way here
+  kOpen,           // the attempt is running here
   kRefusedBefore,  // closed without having run; the refusal may be repeated
   kEndedBefore,    // it ran here before: a repeated message, to be dropped
-  kSuperseded,     // a newer attempt of the request was seen, this one not
+  kSuperseded,     // a newer attempt of the request came first
 };
 inline constexpr EnumNames<Admission, 5> kAdmissionNames = {{
     {Admission::kNew, "new"},
@@ -32,14 +32,14 @@
     {Admission::kSuperseded, "superseded"},
 }};
 
-// Which attempts are under way here and for which session, and the highest
-// attempt number of each request. A closed attempt stays known for a while:
-// without that, a message delivered twice, or a Start that its Cancel has
-// overtaken, would run work that nobody waits for. Not thread safe.
+// The attempts that run here with their sessions, and the highest attempt
+// number of each request. A closed attempt stays known for a while: otherwise a
+// message delivered twice, or a Start that its Cancel has overtaken, would run
+// work that no caller waits for. Not thread safe.
 class AttemptTable {
  public:
   struct Options {
-    bool check = true;      // false only to show that its absence is noticed
+    bool check = true;      // false only to test that its absence is detected
     Duration memory = 15s;  // how long a closed attempt stays known
     std::size_t max_remembered = 65536;
   };
@@ -56,19 +56,19 @@
   // superseded.
   Opening Open(const AttemptId& attempt, SessionId session, Instant now);
 
-  // Closes an attempt of which nothing ran and nothing will.
+  // Closes an attempt of which nothing ran and nothing will run.
   void CloseNotRun(const AttemptId& attempt, ResultCode code, Instant now);
   // Closes an attempt that ran, or may have.
   void CloseEnded(const AttemptId& attempt, Instant now);
 
   std::optional<SessionId> SessionOf(const AttemptId& attempt) const;
-  // When the attempt's first message came; empty unless it is open.
+  // The time of the attempt's first message; empty unless it is open.
   std::optional<Instant> OpenSince(const AttemptId& attempt) const;
   std::vector<AttemptId> OpenOf(SessionId session) const;
 
-  // Forgets what was closed long enough ago.
+  // Forgets the attempts that were closed longer than `memory` ago.
   void Expire(Instant now);
-  // Forgetting is never urgent: the next message does it.
+  // Forgetting is never urgent: it happens with the next message.
   std::size_t remembered() const { return this->seen.size(); }
 
  private:
@@ -78,8 +78,8 @@
     State state = State::kOpen;
     ResultCode code = ResultCode::kOk;
     Instant closed_at{};
-    // Older attempts that ran here: to refuse those as "not run" would be
-    // untrue. At most kMaxRan; entries make a handful of attempts.
+    // Older attempts that ran here: refusing those as "not run" would be wrong.
+    // At most kMaxRan; entries make few attempts for each request.
     std::vector<AttemptNumber> ran;
   };
 
--- a/src/agent/internal/call_work.cc
+++ b/src/agent/internal/call_work.cc
@@ -18,14 +18,14 @@
   return once.kind == OnceKind::kIdempotent;
 }
 
-// How a verdict that does not let a call run is told. kAnswered has a message
+// The report of a verdict that does not let a call run. kAnswered has a message
 // of its own.
-struct Telling {
+struct VerdictReport {
   ResultCode code;
   Outcome outcome;
 };
 
-Telling TellingOf(OnceVerdict verdict) {
+VerdictReport ReportFor(OnceVerdict verdict) {
   switch (verdict) {
     case OnceVerdict::kStillRunning:
       return {ResultCode::kStillRunning, Outcome::kUnknown};
@@ -120,18 +120,18 @@
       return false;
     case OnceVerdict::kSealed:
     case OnceVerdict::kWrongHome:
-      this->parts.Refuse(attempt, Phase::kCall, TellingOf(verdict).code, {},
+      this->parts.Refuse(attempt, Phase::kCall, ReportFor(verdict).code, {},
                          now);
       return false;
     case OnceVerdict::kFull:
-      // Never seen, and not taken: this submission did not run.
+      // The key was never seen and was not accepted: this submission did not
+      // run.
       this->parts.Fail(attempt, Phase::kCall, ResultCode::kOutOfBounds,
                        Outcome::kNotRun, now);
       return false;
     default: {
-      const Telling telling = TellingOf(verdict);
-      this->parts.Fail(attempt, Phase::kCall, telling.code, telling.outcome,
-                       now);
+      const VerdictReport report = ReportFor(verdict);
+      this->parts.Fail(attempt, Phase::kCall, report.code, report.outcome, now);
       return false;
     }
   }
@@ -150,12 +150,12 @@
         now);
     return;
   }
-  const Telling telling = TellingOf(verdict);
+  const VerdictReport report = ReportFor(verdict);
   this->parts.outbox.Send(session,
                           protocol::Failed{.attempt = look_up.attempt,
                                            .phase = Phase::kCall,
-                                           .code = telling.code,
-                                           .outcome = telling.outcome},
+                                           .code = report.code,
+                                           .outcome = report.outcome},
                           now);
 }
 
@@ -176,12 +176,12 @@
 }
 
 bool CallWork::DropQueued(const AttemptId& attempt) {
-  const auto place = this->queue_numbers.find(attempt);
-  if (place == this->queue_numbers.end()) {
+  const auto number = this->queue_numbers.find(attempt);
+  if (number == this->queue_numbers.end()) {
     return false;
   }
-  this->queue.erase(place->second);
-  this->queue_numbers.erase(place);
+  this->queue.erase(number->second);
+  this->queue_numbers.erase(number);
   this->latest_starts.Remove(attempt);
   return true;
 }
@@ -233,9 +233,9 @@
 }
 
 void CallWork::Release(const AttemptId& attempt, Instant now) {
-  const auto place = this->queue_numbers.find(attempt);
-  if (place != this->queue_numbers.end()) {
-    this->ReleaseKey(this->queue.at(place->second).start.once);
+  const auto number = this->queue_numbers.find(attempt);
+  if (number != this->queue_numbers.end()) {
+    this->ReleaseKey(this->queue.at(number->second).start.once);
     this->DropQueued(attempt);
     return;
   }
--- a/src/agent/internal/call_work.h
+++ b/src/agent/internal/call_work.h
@@ -12,14 +12,15 @@
 
 namespace acacialug::agent {
 
-// The calls of a plain endpoint: a bounded queue, some at once, and at most
-// once where a call may not be repeated. Attempts were admitted by the
-// attempt table before they come here. Not thread safe.
+// The calls of a plain endpoint: a bounded queue, a bounded number of
+// concurrent calls, and at-most-once execution of calls that may not be
+// repeated. The attempt table admits attempts before they reach this class. Not
+// thread safe.
 class CallWork {
  public:
   explicit CallWork(SharedParts& shared_parts);
 
-  // Without `may_run` only what the ledger already knows is answered.
+  // Without `may_run` only calls that the ledger already knows are answered.
   void OnStartCall(const protocol::StartCall& start, bool may_run, Instant now);
   void OnLookUp(SessionId session,
                 const protocol::LookUp& look_up,
@@ -29,14 +30,14 @@
   bool OnCallDone(const engine::CallDone& done, Instant now);
   bool OnFailed(const engine::AttemptFailed& failed, Instant now);
 
-  // The caller is gone. A queued call is dropped and an idempotent one
-  // aborted; one that may not be repeated goes on, and its answer is kept.
+  // The caller has left. A queued call is dropped and an idempotent call is
+  // aborted; a call that may not be repeated continues, and its answer is kept.
   void Release(const AttemptId& attempt, Instant now);
   void Expire(Instant now);
-  // The drain's grace is over: nothing stays.
+  // The drain's grace has ended: all remaining work is ended.
   void EndAll(Instant now);
 
-  // A bound of 0 leaves the one from the settings.
+  // A bound of 0 keeps the bound from the settings.
   void SetBounds(const manifest::Endpoint& endpoint);
   void FillLoad(protocol::EndpointLoad& load) const;
   bool Holds(const AttemptId& attempt) const;
@@ -54,21 +55,21 @@
   struct Running {
     protocol::Once once;
     Instant started;
-    Instant end_by;  // by then the call has answered or is given up
+    Instant end_by;  // a call without an answer by then is abandoned
     bool has_caller = true;
   };
 
-  // True when the ledger lets the call run; otherwise it was answered.
+  // True when the ledger lets the call run; otherwise the call was answered.
   bool PassesLedger(const protocol::StartCall& start,
                     bool may_run,
                     Instant now);
-  // The submission did not run; only the one that the ledger let run may
+  // The submission did not run; only the submission that the ledger let run may
   // release its key.
   void ReleaseKey(const protocol::Once& once);
   void Dispatch(Instant now);
-  // Takes a queued call out; false when there is none.
+  // Removes a queued call; false when there is none.
   bool DropQueued(const AttemptId& attempt);
-  // Ends a running call whose outcome nobody will learn.
+  // Ends a running call whose outcome stays unknown.
   void GiveUp(const AttemptId& attempt, ResultCode code, Instant now);
   void OnDeadline(const AttemptId& attempt, Instant now);
   Duration WaitAhead() const;
--- a/src/agent/internal/deadline_set.h
+++ b/src/agent/internal/deadline_set.h
@@ -10,8 +10,8 @@
 
 namespace acacialug::agent {
 
-// One deadline a key, found in order of time. Every operation is O(log n).
-// Not thread safe.
+// One deadline for each key, in order of time. Every operation is O(log n). Not
+// thread safe.
 template <typename Key>
 class DeadlineSet {
  public:
@@ -38,7 +38,7 @@
     this->due_of.erase(found);
   }
 
-  // Takes out the earliest key whose deadline is at or before `now`.
+  // Removes the earliest key whose deadline is at or before `now`.
   std::optional<Key> PopDue(Instant now) {
     if (this->next() > now) {
       return std::nullopt;
--- a/src/agent/internal/decode_memory.cc
+++ b/src/agent/internal/decode_memory.cc
@@ -8,7 +8,7 @@
 namespace acacialug::agent {
 namespace {
 
-constexpr int kTypicalWeight = 16;      // one in so many, for the smoothing
+constexpr int kTypicalWeight = 16;      // the weight of a sample is its inverse
 constexpr Duration kOverdueEnd = 20ms;  // a stream past its predicted end
 constexpr Duration kRetryUnknown = 1s;  // no prediction to go by
 
@@ -73,8 +73,8 @@
     used_tokens += this->reserved_use.tokens - holder.tokens;
     used_slots += this->reserved_use.slots - 1;
   }
-  // A held reservation stays good when the bounds shrink under it, but it
-  // never covers more than was asked for.
+  // A held reservation stays valid when the bounds shrink below it, but it
+  // never covers more than was requested.
   const bool fits = this->FitsBeside(used_tokens, used_slots, tokens);
   if (!fits && promise && tokens == holder.tokens) {
     return Start::kMustWait;
@@ -194,7 +194,8 @@
   std::sort(changes.begin(), changes.end(), [](const auto& a, const auto& b) {
     return std::tie(a.at, a.frees) < std::tie(b.at, b.frees);
   });
-  // From the last instant at which it does not fit, the next change on.
+  // The fit starts at the change after the last instant at which it does not
+  // fit.
   std::optional<Instant> fit;
   if (this->FitsBeside(used.tokens, used.slots, tokens)) {
     fit = now;
--- a/src/agent/internal/decode_memory.h
+++ b/src/agent/internal/decode_memory.h
@@ -12,9 +12,9 @@
 
 namespace acacialug::agent {
 
-// The KV tokens and stream slots of a decode engine: who runs, who has
-// reserved, and when the next will fit. What runs never exceeds what there
-// is. Not thread safe.
+// The KV tokens and stream slots of a decode engine: the attempts that run, the
+// attempts with a reservation, and the time at which the next attempt will fit.
+// Running attempts never exceed the capacity. Not thread safe.
 class DecodeMemory {
  public:
   struct Options {
@@ -27,7 +27,7 @@
   struct Need {
     std::uint64_t kv_tokens = 0;
     Duration ready_in{};      // the stream will not start earlier
-    Duration start_within{};  // kPromise: the longest wait that is of use
+    Duration start_within{};  // kPromise: the longest useful wait
   };
 
   struct Answer {
@@ -39,12 +39,12 @@
   enum class Start : std::uint8_t {
     kStarted,
     kMustWait,     // promised, but a stream runs longer than predicted
-    kNotReserved,  // no live reservation that covers this much
+    kNotReserved,  // no live reservation covers these tokens
   };
 
   explicit DecodeMemory(Options memory_options) : options(memory_options) {}
 
-  // A second call for a reserved attempt answers as the first did.
+  // A second call for a reserved attempt returns the same answer as the first.
   // Precondition: the attempt does not run.
   Answer Reserve(const AttemptId& attempt, const Need& need, Instant now);
 
@@ -54,7 +54,7 @@
                     Instant predicted_end,
                     Instant now);
 
-  // The reservation waits for its memory (kMustWait) and lapses no more by
+  // The reservation waits for its memory (kMustWait) and no longer lapses by
   // itself: the caller of this class bounds the wait.
   void KeepReservation(const AttemptId& attempt);
 
@@ -63,10 +63,10 @@
   // Frees a reservation or a stream; an unknown attempt is no error.
   void Release(const AttemptId& attempt, Instant now);
 
-  // Takes out the reservations that were not used within their limit.
+  // Removes the reservations that were not used within their limit.
   std::vector<AttemptId> Expire(Instant now);
 
-  // New bounds; what runs and is reserved stays, also above them.
+  // Sets new bounds; running and reserved attempts stay, even above them.
   void SetBounds(std::uint64_t kv_tokens, std::uint32_t slots);
 
   bool Holds(const AttemptId& attempt) const;
@@ -93,15 +93,15 @@
   struct Holder {
     std::uint64_t tokens = 0;
     bool running = false;
-    Instant from;   // when it takes, or took, its memory
+    Instant from;   // start of its use of the memory
     Instant until;  // predicted
   };
 
   bool FitsBeside(std::uint64_t used_tokens,
                   std::uint32_t used_slots,
                   std::uint64_t tokens) const;
-  // The earliest instant from which on the tokens and a slot are predicted
-  // to be free; empty when never.
+  // The earliest instant from which the tokens and a slot are predicted to be
+  // free; empty when there is none.
   std::optional<Instant> EarliestFit(std::uint64_t tokens, Instant now) const;
 
   Options options;
--- a/src/agent/internal/decode_work.cc
+++ b/src/agent/internal/decode_work.cc
@@ -11,15 +11,15 @@
 using protocol::Outcome;
 using protocol::Phase;
 
-// A timer that fires so much late tells that this process was paused, and
-// that the engine's silence meanwhile says nothing about the engine.
-constexpr Duration kOwnPause = 1s;
+// A timer that fires this late shows that this process was paused, so a missing
+// token in that time indicates nothing about the engine.
+constexpr Duration kProcessStall = 1s;
 
-// An engine that makes no token for any of its streams for so many usual
-// intervals, and for so long, stands still.
+// An engine is stalled when it makes no token for any of its streams for this
+// number of usual intervals, and for at least kMinResponseTimeout.
 constexpr std::int64_t kTimeoutIntervals = 10;
 constexpr Duration kMinResponseTimeout = 300ms;
-// A look at that silence that comes so late tells of this process instead.
+// A check for stalls that runs this late shows a stall of this process instead.
 constexpr Duration kLateCheck = 100ms;
 
 }  // namespace
@@ -44,21 +44,21 @@
   if (!repeated && this->RefuseWhileStalled(attempt, Phase::kReserve, now)) {
     return;
   }
-  const DecodeMemory::Answer place =
+  const DecodeMemory::Answer slot =
       this->memory.Reserve(attempt,
                            {.kv_tokens = reserve.kv_tokens,
                             .ready_in = reserve.prefill_ready_in,
                             .start_within = reserve.start_within},
                            now);
-  if (!place.granted) {
+  if (!slot.granted) {
     this->parts.Refuse(attempt, Phase::kReserve, ResultCode::kNoDecodeMemory,
-                       place.retry_after, now);
+                       slot.retry_after, now);
     return;
   }
   if (!repeated) {
     const TransferLink::Answer window = this->link.Book(
         attempt, reserve.transfer_bytes,
-        std::max(reserve.prefill_ready_in, place.available_in), now);
+        std::max(reserve.prefill_ready_in, slot.available_in), now);
     if (!window.granted) {
       this->memory.Release(attempt, now);
       this->parts.Refuse(attempt, Phase::kReserve, ResultCode::kLinkBusy,
@@ -66,10 +66,10 @@
       return;
     }
   }
-  this->parts.Reply(attempt,
-                    protocol::Reserved{.attempt = attempt,
-                                       .available_in = place.available_in},
-                    now);
+  this->parts.Reply(
+      attempt,
+      protocol::Reserved{.attempt = attempt, .available_in = slot.available_in},
+      now);
 }
 
 void DecodeWork::OnStartDecode(const protocol::StartDecode& start,
@@ -87,13 +87,13 @@
     return;
   }
   if (!this->memory.Holds(attempt)) {
-    const DecodeMemory::Answer place =
+    const DecodeMemory::Answer slot =
         may_reserve
             ? this->memory.Reserve(attempt, {.kv_tokens = start.kv_tokens}, now)
             : DecodeMemory::Answer{};
-    if (!place.granted) {
+    if (!slot.granted) {
       this->parts.Refuse(attempt, Phase::kDecode, ResultCode::kNoDecodeMemory,
-                         place.retry_after, now);
+                         slot.retry_after, now);
       return;
     }
   }
@@ -119,7 +119,7 @@
     if (earliest == kNever || scope == StreamScope::kStreaming) {
       return kNever;
     }
-    // Imports come before first tokens, and take up to the exports' lifetime.
+    // Imports precede first tokens and take up to the exports' lifetime.
     latest = earliest + this->parts.options.export_lifetime;
   }
   return std::max(latest, this->last_stall_ended_at);
@@ -133,11 +133,12 @@
                                                 : now - since;
 }
 
-// Symptom: an agent that stood still refuses all work that came meanwhile,
-// though its engine made tokens all the time. Sequence: it wakes, and reads its
-// sessions before the engine's stream. A look that is late tells of it; time
-// counts as the engine's silence from then on only. Not twice in a row, or
-// with an agent that is always late no engine would ever count as silent.
+// Guards against an agent that refuses all work after its own stall, though its
+// engine made tokens all the time. The agent resumes and reads its sessions
+// before the engine's stream. A late check shows this; only time from that
+// check on counts against the engine. Two checks in a row can't both count as
+// late, or else no engine would ever count as unresponsive for an agent that is
+// always late.
 void DecodeWork::CheckForProcessStall(Instant now) {
   if (now < this->next_stall_check && this->next_stall_check != kNever) {
     return;
@@ -153,11 +154,11 @@
                                : now + kMinResponseTimeout;
 }
 
-// Symptom: requests that came while an engine stood still miss their first
-// token, and their prefills' exports are evicted, though other engines had
-// room. Sequence: the engine stops, its memory shows free places, and the
-// entries fill them. Cause: only a stream's own timeout told of it, seconds
-// later.
+// Guards against requests that arrive while an engine is stalled, miss their
+// first token and lose their prefills' exports by eviction, though other
+// engines have free capacity. The engine stops, its memory shows free slots,
+// and the entries fill them. Only a stream's own timeout showed the stall,
+// seconds later.
 bool DecodeWork::RefuseWhileStalled(const AttemptId& attempt,
                                     Phase phase,
                                     Instant now) {
@@ -204,7 +205,7 @@
 void DecodeWork::AddWaiting(const protocol::StartDecode& start, Instant now) {
   this->memory.KeepReservation(start.attempt);
   this->waiting.push_back(start);
-  // Longer than the prefill's export lives the wait would be in vain.
+  // A wait longer than the lifetime of the prefill's export would be useless.
   const bool has_export =
       start.kv.bytes != 0 || !start.kv.transfer_params.empty();
   this->wait_limits.Set(
@@ -286,12 +287,12 @@
 }
 
 void DecodeWork::Flush(const AttemptId& attempt, Stream& stream, Instant now) {
-  for (StreamFlow::Piece& piece : stream.flow.TakeSendable()) {
+  for (StreamFlow::Chunk& chunk : stream.flow.TakeSendable()) {
     this->parts.Reply(attempt,
                       protocol::Chunk{.attempt = attempt,
-                                      .sequence = piece.sequence,
-                                      .tokens = piece.tokens,
-                                      .text = std::move(piece.text)},
+                                      .sequence = chunk.sequence,
+                                      .tokens = chunk.tokens,
+                                      .text = std::move(chunk.text)},
                       now);
   }
   if (stream.end) {
@@ -308,8 +309,8 @@
   }
   this->parts.outbox.Execute(
       engine::SetPaused{.attempt = attempt, .paused = *pause});
-  // While paused the engine owes nothing, and the first interval afterwards
-  // tells of the reader's pace rather than of the engine's.
+  // While paused the engine owes no token, and the first interval afterwards
+  // measures the reader's pace instead of the engine's.
   stream.measured = false;
   stream.progress = now;
   if (*pause) {
@@ -368,7 +369,7 @@
     const Instant due = this->stalls.next();
     const AttemptId attempt = *this->stalls.PopDue(now);
     Stream& stream = this->streams.at(attempt);
-    if (now - due >= kOwnPause) {
+    if (now - due >= kProcessStall) {
       stream.progress = now;
     }
     const Instant stalls_at =
@@ -387,9 +388,10 @@
   }
 }
 
-// Symptom: requests whose stream was started just before an engine stood still
-// wait for it, though their exports are alive and other engines have room.
-// Cause: the timeout of a stream is longer than an export lives.
+// Guards against requests that wait for a stalled engine because their stream
+// was started just before the stall, though their exports are alive and other
+// engines have free capacity. The timeout of a stream is longer than the
+// lifetime of an export.
 bool DecodeWork::StartsInStalledEngine(const Stream& stream,
                                        Instant due,
                                        Instant now) const {
@@ -414,7 +416,7 @@
     }
     this->Release(attempt, now);
   }
-  this->streams.clear();  // ended in the engine, not taken by the reader
+  this->streams.clear();  // ended in the engine, unread by the reader
 }
 
 void DecodeWork::SetBounds(const manifest::Endpoint& endpoint) {
--- a/src/agent/internal/decode_work.h
+++ b/src/agent/internal/decode_work.h
@@ -17,8 +17,8 @@
 
 namespace acacialug::agent {
 
-// Reservations and streams of a decode endpoint. Attempts were admitted by
-// the attempt table before they come here. Not thread safe.
+// Reservations and streams of a decode endpoint. The attempt table admits
+// attempts before they reach this class. Not thread safe.
 class DecodeWork {
  public:
   explicit DecodeWork(SharedParts& shared_parts);
@@ -35,13 +35,13 @@
   bool OnStreamDone(const engine::StreamDone& done, Instant now);
   bool OnFailed(const engine::AttemptFailed& failed, Instant now);
 
-  // Gives back all that the attempt holds; unknown is no error.
+  // Releases everything that the attempt holds; an unknown attempt is no error.
   void Release(const AttemptId& attempt, Instant now);
   void Expire(Instant now);
-  // The drain's grace is over: nothing stays.
+  // The drain's grace has ended: all remaining work is ended.
   void EndAll(Instant now);
 
-  // A bound of 0 leaves the one from the settings.
+  // A bound of 0 keeps the bound from the settings.
   void SetBounds(const manifest::Endpoint& endpoint);
   void FillLoad(protocol::EndpointLoad& load, Instant now) const;
   bool Holds(const AttemptId& attempt) const;
@@ -56,22 +56,24 @@
     StreamFlow flow;
     std::uint32_t requested = 0;
     std::uint32_t produced = 0;
-    Instant progress;       // the engine's latest, or when it was told to go on
-    bool measured = false;  // a second text in a row gives an interval
-    std::optional<protocol::Ended> end;  // the engine is done
+    Instant progress;       // latest of the engine, or when it was resumed
+    bool measured = false;  // the next text gives an interval
+    std::optional<protocol::Ended> end;  // set when the engine has finished
   };
 
-  // By streams that had a token, or also by starts that wait for their first.
+  // Covers streams that had a token, or also starts that wait for their first
+  // token.
   enum class StreamScope : std::uint8_t { kStreaming, kAll };
 
-  // Since when the engine owes its streams the next token, and this process
-  // would have heard it; kNever: it owes none.
+  // The time since which the engine owes its streams the next token and this
+  // process would have received it; kNever: it owes none.
   Instant AwaitingTokenSince(StreamScope scope) const;
-  // How long it has owed it; zero while it keeps its pace, or owes none.
+  // The time for which the engine has owed a token; zero while it keeps its
+  // pace, or owes none.
   Duration UnresponsiveFor(Instant now, StreamScope scope) const;
-  // Finds out whether this process itself stood still.
+  // Checks whether this process itself was stalled.
   void CheckForProcessStall(Instant now);
-  // Refuses the attempt as not run while the engine stands still.
+  // Refuses the attempt as not run while the engine is stalled.
   bool RefuseWhileStalled(const AttemptId& attempt,
                           protocol::Phase phase,
                           Instant now);
@@ -83,7 +85,8 @@
   void FreeEngine(const AttemptId& attempt, Instant now);
   void ExpireWaiting(Instant now);
   void ExpireStalled(Instant now);
-  // Started in an engine that stands still; `due` is when it was to be judged.
+  // The stream was started in a stalled engine; `due` is the time at which it
+  // was to be checked.
   bool StartsInStalledEngine(const Stream& stream,
                              Instant due,
                              Instant now) const;
@@ -98,7 +101,7 @@
   DeadlineSet<AttemptId> stalls;
   // While the engine owes a token.
   Instant next_stall_check = kNever;
-  Instant last_stall_ended_at{};  // after the latest standstill of this process
+  Instant last_stall_ended_at{};  // end of this process's latest stall
   bool process_stalled = false;   // by the latest check
 };
 
--- a/src/agent/internal/drain_state.h
+++ b/src/agent/internal/drain_state.h
@@ -8,16 +8,16 @@
 
 namespace acacialug::agent {
 
-// Whether this agent is leaving, for whom, and until when what runs may run.
-// Not thread safe.
+// Whether this agent is leaving, for which cause, and until when running work
+// may continue. Not thread safe.
 class DrainState {
  public:
   enum class Cause : std::uint8_t { kProcess, kManifest };
 
   explicit DrainState(Duration drain_grace) : grace(drain_grace) {}
 
-  // True when the drain begins with this call. The process's wish outlasts
-  // the manifest's.
+  // True when the drain begins with this call. A drain that the process
+  // requests outlasts one by the manifest.
   bool Begin(Cause new_cause, Instant now) {
     const bool begins = !this->active();
     if (begins) {
@@ -29,7 +29,7 @@
     return begins;
   }
 
-  // A manifest no longer says that the endpoint is leaving.
+  // The manifest no longer marks the endpoint as leaving.
   void RevokeByManifest() {
     if (this->cause == Cause::kManifest) {
       this->ends = kNever;
--- a/src/agent/internal/engine_audit.h
+++ b/src/agent/internal/engine_audit.h
@@ -14,9 +14,9 @@
 namespace acacialug::agent {
 
 // Compares what the engine holds with what this agent owns. A predecessor on
-// this host may have died with streams running, and an abort or an engine
-// event may be lost: the engine's memory would then stay taken for nobody.
-// Not thread safe.
+// this host may have died with streams running, and an abort or an engine event
+// may be lost: the engine's memory would then stay in use for no request. Not
+// thread safe.
 class EngineAudit {
  public:
   struct Options {
@@ -32,21 +32,23 @@
 
   void Start(Instant now) { this->next_listing = now; }
 
-  // True when the engine has to be asked now; the asking is then under way.
+  // True when the engine has to be queried now; the query then counts as
+  // running.
   bool TakeDue(Instant now);
 
-  // The engine's answer: what to abort. An attempt that was released since
-  // shortly before the listing was asked for is left to the next one, since
-  // the engine may have composed its answer before the release reached it.
+  // Takes the engine's answer and returns the attempts to abort. An attempt
+  // that was released since shortly before the listing was requested is left to
+  // the next listing, since the engine may have composed its answer before the
+  // release reached it.
   std::vector<AttemptId> OnHeld(const std::vector<AttemptId>& held,
                                 const OwnsHook& owns,
                                 Instant now);
   void OnListFailed(Instant now);
 
-  // The engine was told to free the attempt, or told that it has.
+  // The engine was ordered to free the attempt, or reported that it has.
   void NoteReleased(const AttemptId& attempt, Instant now);
 
-  // The engine has answered once: nothing of a predecessor runs any more.
+  // The engine has answered once: no work of a predecessor runs any more.
   bool ready() const { return this->answered; }
   Instant next_timer() const { return this->next_listing; }
 
--- a/src/agent/internal/engine_orders.cc
+++ b/src/agent/internal/engine_orders.cc
@@ -72,8 +72,8 @@
     if (this->disturbs && !idle && now < this->order_by) {
       return std::nullopt;
     }
-    // What is wanted is looked up here, at the moment of sending: a newer
-    // manifest may have come while the order waited.
+    // The wanted state is read here, at the time of sending: a newer manifest
+    // may have arrived while the order waited.
     this->ReadAt(now + this->options.answer_timeout);
     if (this->needs_maintenance) {
       this->engine_fits = false;
@@ -113,8 +113,8 @@
     this->ReadAt(now + this->options.min_retry);
     return;
   }
-  // A higher fence than ours: the engine follows a manifest that has not
-  // reached this agent yet, and an order from here would turn it back.
+  // The engine's fencing token is higher: it follows a manifest that has not
+  // reached this agent yet, and an order from here would revert it.
   if (state.fencing_token > this->wanted->fencing_token) {
     this->needs_maintenance = false;
     this->RetryReading(now);
@@ -123,7 +123,8 @@
   this->step = Step::kOrder;
   this->disturbs = !same_model;
   this->order_by = now + this->options.max_wait;
-  // A turn may be long in coming; the engine may be another one by then.
+  // The wait in the maintenance queue may be long, and the engine's state may
+  // change meanwhile.
   this->due = now + this->options.check_interval;
 }
 
@@ -150,8 +151,9 @@
 }
 
 // An engine of another model or role serves nothing that this endpoint is
-// asked for, and so does one that loads: what it does takes nothing away from
-// the pool. One of an older version, or without an adapter, does serve.
+// requested for, and neither does an engine that loads: an order to it removes
+// no capacity from the pool. An engine of an older version, or without an
+// adapter, does serve.
 bool EngineOrders::NeedsMaintenance(const engine::EngineState& state) const {
   return this->options.use_maintenance_queue && !state.loading &&
          state.model == this->wanted->model && state.role == this->wanted->role;
@@ -164,8 +166,8 @@
 }
 
 void EngineOrders::RetryReading(Instant now) {
-  // Spread, since a new version makes every agent order at the same time
-  // from one weight store of limited rate.
+  // The delay is spread, since a new version makes every agent order at the
+  // same time from one weight store of limited rate.
   const double spread = 0.5 + this->random.Unit();
   this->ReadAt(now + FromSeconds(Seconds(this->retry) * spread));
   this->retry = std::min(2 * this->retry, this->options.max_retry);
--- a/src/agent/internal/entry_processes.cc
+++ b/src/agent/internal/entry_processes.cc
@@ -18,8 +18,8 @@
 bool EntryProcesses::Take(const protocol::Heartbeat& heartbeat) {
   const auto found =
       this->processes.find({heartbeat.entry, heartbeat.incarnation});
-  // Without the order a copy of an old datagram, come by a slow path, would
-  // renew the sessions of an entry that has stopped.
+  // Without the check of the order, a copy of an old datagram that arrived by a
+  // slow route would renew the sessions of an entry that has stopped.
   if (found == this->processes.end() ||
       heartbeat.sequence <= found->second.newest) {
     return false;
--- a/src/agent/internal/entry_processes.h
+++ b/src/agent/internal/entry_processes.h
@@ -10,23 +10,23 @@
 
 namespace acacialug::agent {
 
-// The processes whose shards have sessions here, and what their heartbeats
-// have told and been told. Not thread safe.
+// The processes whose shards have sessions here, with the reports in their
+// heartbeats and the reports sent to them. Not thread safe.
 class EntryProcesses {
  public:
   // One start of a process.
   using Key = std::pair<EntryId, Incarnation>;
 
-  // Once for each session that begins or ends.
+  // Called once for each session that begins or ends.
   void Join(const Key& process);
   void Leave(const Key& process);
 
-  // Takes the heartbeat as the newest of its process. False: the process has
-  // no session here, or this heartbeat or a later one was taken before.
+  // Accepts the heartbeat as the newest of its process. False: the process has
+  // no session here, or this heartbeat or a later one was accepted before.
   bool Take(const protocol::Heartbeat& heartbeat);
 
-  // Puts the load into the answer, unless the process is known to have been
-  // told much the same. Precondition: Take accepted the heartbeat.
+  // Adds the load to the answer, unless the process is known to have received a
+  // similar report. Precondition: Take accepted the heartbeat.
   void ReportLoad(const protocol::Heartbeat& heartbeat,
                   const protocol::EndpointLoad& load,
                   protocol::HeartbeatAnswer& answer);
--- a/src/agent/internal/maintenance_permission.cc
+++ b/src/agent/internal/maintenance_permission.cc
@@ -9,12 +9,12 @@
 namespace acacialug::agent {
 namespace {
 
-constexpr std::size_t kLongestName = 64;  // of a service, in a stream's name
+constexpr std::size_t kMaxServiceNameBytes = 64;  // in a stream's name
 
 }  // namespace
 
 std::string MaintenanceStream(const manifest::Endpoint& endpoint) {
-  std::string service = endpoint.service.text.substr(0, kLongestName);
+  std::string service = endpoint.service.text.substr(0, kMaxServiceNameBytes);
   std::replace_if(
       service.begin(), service.end(),
       [](unsigned char byte) { return std::isalnum(byte) == 0; }, '-');
@@ -57,10 +57,10 @@
          (out || this->RestCanCarryLoad(*members_ahead, idle, now));
 }
 
-// Those before this one in the order may be out or about to go: the rest is
-// what is left without them and this one. An endpoint that is down for another
-// reason is not known here; the others carry its load already, and so it shows
-// in this one's own.
+// The endpoints ahead of this one in the queue may be out of service or about
+// to leave: the rest is the pool without them and this one. An endpoint that is
+// down for another reason is not known here; the others already carry its load,
+// so it shows in this endpoint's own load.
 bool MaintenancePermission::RestCanCarryLoad(std::size_t members_ahead,
                                              bool idle,
                                              Instant now) const {
--- a/src/agent/internal/maintenance_permission.h
+++ b/src/agent/internal/maintenance_permission.h
@@ -11,22 +11,23 @@
 
 namespace acacialug::agent {
 
-// Whether this endpoint may be taken out of service for an order: its turn in
-// the pool has come, and the rest of the pool can carry the load. The pool's
-// load is taken from this endpoint's own, as entries spread it. Not thread
-// safe.
+// Whether this endpoint may be taken out of service for an order: its place in
+// the pool's maintenance queue permits it, and the rest of the pool can carry
+// the load. The pool's load is estimated from this endpoint's own load, since
+// entries spread it. Not thread safe.
 class MaintenancePermission {
  public:
   // All references outlive this.
   MaintenancePermission(const AgentOptions& agent_options,
                         RandomSource& random);
 
-  // The pool of the endpoint in a manifest that came in force.
+  // Sets the endpoint's pool from a manifest that became active.
   void SetPool(const manifest::Manifest& manifest,
                const manifest::Endpoint& endpoint,
                Instant now);
-  // While a turn is wanted: the endpoint's load from now on. Not watched
-  // otherwise, since each message of a request would pay for it.
+  // Records the endpoint's load from now on, while maintenance is wanted. The
+  // load is not observed otherwise, since each message of a request would pay
+  // for it.
   void NoteLoad(const protocol::EndpointLoad& load, Instant now) {
     this->utilisation.NoteLoad(load, now);
   }
@@ -34,8 +35,8 @@
     this->utilisation = Utilisation(this->options.utilisation_memory);
   }
 
-  // `idle`: the engine runs nothing; `out`: the endpoint is out already, and
-  // its load tells nothing any more.
+  // `idle`: the engine runs nothing; `out`: the endpoint is already out of
+  // service, so its load is no longer an estimate.
   bool MayLeaveService(bool idle, bool out, Instant now) const;
 
   maintenance::MaintenanceQueueClient& queue_client() { return this->client; }
@@ -54,9 +55,9 @@
   std::size_t members = 0;
 };
 
-// The stream in which a pool's endpoints take their turns. Names that differ
-// only in characters that a URL does not take share one; that costs reading.
-// Thread safe.
+// The stream that holds the maintenance queue of a pool's endpoints. Names that
+// differ only in characters that a URL does not allow share a stream; that
+// costs only additional reads. Thread safe.
 std::string MaintenanceStream(const manifest::Endpoint& endpoint);
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/once_ledger.cc
+++ b/src/agent/internal/once_ledger.cc
@@ -89,9 +89,9 @@
       .fingerprint = once.fingerprint, .kind = once.kind, .claim = once.claim};
 }
 
-// A key that is not known here may be one that was run and forgotten. Claims
-// are ordered by their place in the log and tickets by their time of issue, so
-// this needs no clock but the one that issued the ticket.
+// An unknown key may be a key that ran and was forgotten. Claims are ordered by
+// their position in the log and tickets by their time of issue, so this needs
+// no clock except the clock that issued the ticket.
 bool OnceLedger::MayBeForgotten(const protocol::Once& once) const {
   switch (once.kind) {
     case protocol::OnceKind::kClaim:
@@ -106,8 +106,8 @@
 
 OnceVerdict OnceLedger::Find(const protocol::Once& once, Instant now) {
   this->Forget(now);
-  // An earlier start on this host may have run the key, and its ledger died
-  // with it. Only the start that the key was bound to can tell.
+  // An earlier start on this host may have run the key, and its ledger ended
+  // with it. Only the start to which the key was bound knows the outcome.
   if (once.home != this->options.home) {
     return OnceVerdict::kWrongHome;
   }
@@ -160,7 +160,7 @@
       this->forgotten_tickets = std::max(this->forgotten_tickets, key.high);
     }
     if (record.answer) {
-      // Answers settle in the order in which their keys do.
+      // Answers settle in the same order as their keys.
       this->answered.pop_front();
       this->DropAnswer(record);
     }
--- a/src/agent/internal/once_ledger.h
+++ b/src/agent/internal/once_ledger.h
@@ -15,7 +15,7 @@
 
 namespace acacialug::agent {
 
-// What the ledger says about a key.
+// The ledger's verdict on a key.
 enum class OnceVerdict : std::uint8_t {
   kRun,           // first submission: run it now
   kStillRunning,  // the first submission has not ended
@@ -24,9 +24,9 @@
   kUnknown,       // it may have run; it will not run again
   kSealed,        // it never ran here and never will
   kKeyReused,     // the key stands for another request
-  kWrongHome,     // another start of an agent alone may run it
-  kTooOld,        // claimed or issued before what was already forgotten
-  kFull,          // the ledger cannot remember one more key
+  kWrongHome,     // only another agent start may run it
+  kTooOld,        // older than the newest forgotten key
+  kFull,          // the ledger cannot store a further key
 };
 inline constexpr EnumNames<OnceVerdict, 10> kOnceVerdictNames = {{
     {OnceVerdict::kRun, "run"},
@@ -41,9 +41,9 @@
     {OnceVerdict::kFull, "full"},
 }};
 
-// At most once: which keys were submitted to this start of the agent, and
-// what became of them. A key is never forgotten within the window; rather
-// than that, new keys are turned away. Not thread safe.
+// Ensures at-most-once execution: the keys that were submitted to this start of
+// the agent, and their outcomes. A key is never forgotten within the window;
+// when the ledger is full, new keys are refused instead. Not thread safe.
 class OnceLedger {
  public:
   struct Options {
@@ -58,19 +58,19 @@
   // A submission under the key. kRun records it as running.
   OnceVerdict Begin(const protocol::Once& once, Instant now);
 
-  // A question about the key. One that was never seen is sealed: an answer
-  // "not run" stays true although the submission may still be on its way.
+  // Looks up the key. A key that was never seen is sealed: the answer "not run"
+  // stays true although the submission may still be in transit.
   OnceVerdict LookUp(const protocol::Once& once, Instant now);
 
   // The kept answer; null unless the key's verdict is kAnswered.
   const protocol::ServiceAnswer* AnswerOf(const protocol::Once& once) const;
 
-  // What became of a running key; others are left as they are.
+  // Records the outcome of a running key; others stay unchanged.
   void Complete(const protocol::Once& once,
                 const protocol::ServiceAnswer& answer,
                 Instant now);
   void SetUnknown(const protocol::Once& once, Instant now);
-  // It provably did not run, and a new submission may.
+  // The work provably did not run, and a new submission may run.
   void Release(const protocol::Once& once);
 
   std::uint64_t kept_bytes() const { return this->bytes; }
@@ -111,8 +111,8 @@
   std::deque<Key> answered;                     // oldest first
   std::uint64_t bytes = 0;
   LogOffset forgotten_claims;  // the highest claim of a forgotten key
-  // The latest issued of the forgotten tickets: their keys begin with the time
-  // of issue.
+  // The latest issued of the forgotten tickets: a ticket's key begins with its
+  // time of issue.
   std::uint64_t forgotten_tickets = 0;
 };
 
--- a/src/agent/internal/outbox.h
+++ b/src/agent/internal/outbox.h
@@ -11,8 +11,8 @@
 
 namespace acacialug::agent {
 
-// Collects what the core wants done, in order. Every message that has room
-// for the endpoint's load carries it as it is at that moment. Not thread safe.
+// Collects the actions of the core, in order. Every message with a field for
+// the endpoint's load carries the load at that moment. Not thread safe.
 class Outbox {
  public:
   using LoadHook = std::function<protocol::EndpointLoad(Instant)>;
--- a/src/agent/internal/prefill_forecast.cc
+++ b/src/agent/internal/prefill_forecast.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kRateWeight = 0.1;
-constexpr double kInitialSeconds = 0.1;  // how much the first rate weighs
+constexpr double kInitialSeconds = 0.1;  // the weight of the first rate
 constexpr double kLateQuantile = 0.9;
 
 }  // namespace
@@ -33,10 +33,10 @@
   if (found == this->running.end()) {
     return;
   }
-  // The engine shares its compute among the prefills it runs. The time since
-  // the one before ended is what this one's work took of it. Tokens and
-  // seconds are smoothed apart, so that two that end together do not show an
-  // infinite rate.
+  // The engine shares its compute among the prefills that it runs. The time
+  // since the previous prefill ended is the share that this one's work took.
+  // Tokens and seconds are smoothed separately, so that two prefills that end
+  // together do not show an infinite rate.
   const Instant began = std::max(found->second.since, this->last_finish);
   this->smoothed_tokens += kRateWeight * (work - this->smoothed_tokens);
   this->smoothed_seconds +=
@@ -81,7 +81,8 @@
 }
 
 double PrefillForecast::tokens_per_second() const {
-  // A microsecond and a token at least: neither zero nor infinite.
+  // The bounds of one token and one microsecond keep the rate from being zero
+  // or infinite.
   return std::max(1.0, this->smoothed_tokens) /
          std::max(1e-6, this->smoothed_seconds);
 }
--- a/src/agent/internal/prefill_forecast.h
+++ b/src/agent/internal/prefill_forecast.h
@@ -11,30 +11,33 @@
 
 namespace acacialug::agent {
 
-// How long prefills take at this engine, learnt from those that it did, and
-// how far recent predictions were off. Work is counted in prompt tokens that
-// are not in the engine's prefix cache. Not thread safe.
+// Predicts the time of prefills at this engine from its finished prefills, and
+// the error of recent predictions. Work is counted in prompt tokens that are
+// not in the engine's prefix cache. Not thread safe.
 class PrefillForecast {
  public:
   explicit PrefillForecast(double initial_tokens_per_second);
 
-  // The engine was given this much work.
+  // The engine was given this number of prompt tokens.
   void OnDispatched(const AttemptId& attempt, double work, Instant now);
-  // It finished; `work` is what it really had to compute.
+  // The prefill finished; `work` is the number of tokens that it actually
+  // computed.
   void OnFinished(const AttemptId& attempt, double work, Instant now);
-  // It gave up or was told to. Teaches nothing.
+  // The engine gave up the prefill or was ordered to. The forecast is not
+  // updated.
   void OnDropped(const AttemptId& attempt, Instant now);
 
-  // A prefill ended so much later (or, negative, earlier) than predicted
-  // when it was admitted.
+  // A prefill ended `late` later (if negative, earlier) than predicted when it
+  // was admitted.
   void OnError(Duration late, Instant now);
 
   Duration TimeFor(double work) const;
-  // Until the engine has done what it was given.
+  // The time until the engine has finished the work that it was given.
   Duration Remaining(Instant now) const;
-  // To be added to a prediction: the 0.9 quantile of how late recent ones
-  // were. Halves with every kMarginHalfLife without news, or else a margin
-  // that refuses all work would never learn that it is too wide.
+  // The margin to be added to a prediction: the 0.9 quantile of the delays of
+  // recent prefills. It halves with every kMarginHalfLife without a finished
+  // prefill, since a margin that refuses all work would otherwise never be
+  // corrected.
   Duration margin(Instant now) const;
   double tokens_per_second() const;
 
--- a/src/agent/internal/prefill_queue.cc
+++ b/src/agent/internal/prefill_queue.cc
@@ -105,7 +105,8 @@
   this->latest_starts.Remove(attempt);
   QueuedPrefill prefill = std::move(found->second);
   this->prefills.erase(found);
-  // Sums of doubles drift; an empty queue holds no work at all.
+  // Sums of doubles accumulate errors; the work of an empty queue is set to
+  // zero.
   this->work = this->prefills.empty() ? 0 : this->work - prefill.work;
   return prefill;
 }
--- a/src/agent/internal/prefill_queue.h
+++ b/src/agent/internal/prefill_queue.h
@@ -15,18 +15,19 @@
 
 namespace acacialug::agent {
 
-// An admitted prefill that the engine was not yet given.
+// An admitted prefill that was not given to the engine yet.
 struct QueuedPrefill {
   protocol::StartPrefill start;
-  double work = 0;       // prompt tokens that it will probably compute
-  Instant latest_start;  // begun later, it cannot be done in time
+  double work = 0;       // prompt tokens that it is expected to compute
+  Instant latest_start;  // a later start cannot finish in time
   Instant deadline;
-  Instant predicted;         // when it was expected to be done, at admission
+  Instant predicted;         // expected end, at admission
   std::uint64_t number = 0;  // of arrival
 };
 
-// The bounded queue before a prefill engine. Smaller priorities go first;
-// among equals the order hook decides, and then the arrival. Not thread safe.
+// The bounded queue before a prefill engine. Smaller priorities go first; among
+// equal priorities the order hook decides, and then the arrival. Not thread
+// safe.
 class PrefillQueue {
  public:
   // True when the first goes before the second; a strict weak order.
@@ -37,16 +38,16 @@
 
   PrefillQueue(std::size_t queue_limit, OrderHook hook);
 
-  // Replaces the attempt's earlier place. Precondition: !full().
+  // Replaces the attempt's earlier entry. Precondition: !full().
   void Add(QueuedPrefill prefill);
-  // The one to run next; empty when the queue is.
+  // The prefill to run next; empty when the queue is empty.
   std::optional<QueuedPrefill> TakeNext();
   // An unknown attempt is no error.
   void Remove(const AttemptId& attempt);
-  // Takes out those whose latest start has passed.
+  // Removes the prefills whose latest start has passed.
   std::vector<QueuedPrefill> Expire(Instant now);
 
-  // The work that would run before this one if it were added now.
+  // The work that would run before this prefill if it were added now.
   double WorkBefore(const QueuedPrefill& prefill) const;
   double total_work() const { return this->work; }
   bool full() const { return this->prefills.size() >= this->limit; }
--- a/src/agent/internal/prefill_work.cc
+++ b/src/agent/internal/prefill_work.cc
@@ -11,12 +11,12 @@
 using protocol::Outcome;
 using protocol::Phase;
 
-constexpr std::size_t kMostPieces = 4096;
-// A stall that is noticed so late tells that this process stood still, and then
-// its engine gets so long to be heard.
-constexpr Duration kOwnPause = 100ms;
-constexpr Duration kListeningTime = 200ms;
-constexpr double kLeastWork = 1;  // tokens; also a cached prompt takes a step
+constexpr std::size_t kMaxPrefixBlocks = 4096;
+// A stall that is detected this late shows that this process was stalled; the
+// engine then gets kStallDeferral for its events to be received.
+constexpr Duration kProcessStall = 100ms;
+constexpr Duration kStallDeferral = 200ms;
+constexpr double kMinWorkTokens = 1;  // a cached prompt also takes a step
 
 }  // namespace
 
@@ -24,7 +24,7 @@
     : parts(shared_parts),
       slots(shared_parts.options.slots),
       forecast(shared_parts.options.initial_prefill_tokens_per_second),
-      prefixes(kMostPieces),
+      prefixes(kMaxPrefixBlocks),
       queue(shared_parts.options.queue_limit,
             PrefillQueue::HookOf(shared_parts.options.order)) {}
 
@@ -38,8 +38,8 @@
   }
   const double cached =
       this->prefixes.CachedTokens(start.prefix, start.prompt_tokens);
-  const double work =
-      std::max(kLeastWork, static_cast<double>(start.prompt_tokens) - cached);
+  const double work = std::max(
+      kMinWorkTokens, static_cast<double>(start.prompt_tokens) - cached);
   QueuedPrefill prefill{.work = work,
                         .deadline = After(now, start.finish_within)};
   prefill.start.generation.priority = start.generation.priority;
@@ -49,9 +49,10 @@
       this->forecast.TimeFor(this->queue.WorkBefore(prefill));
   prefill.latest_start = prefill.deadline - own;
   prefill.predicted = now + ahead + own;
-  // A test that forgets the work ahead admits prefills that are certain to
-  // be late. In deadline order those run first, miss, and take the engine
-  // from the ones that could still be met: goodput falls as load rises.
+  // A feasibility test that ignores the work ahead admits prefills that are
+  // certain to be late. In deadline order those run first, miss their
+  // deadlines, and take the engine from prefills that could still meet theirs:
+  // goodput falls as load rises.
   const Instant expected = this->parts.options.feasibility_counts_queue
                                ? prefill.predicted + this->forecast.margin(now)
                                : now + own;
@@ -99,21 +100,22 @@
   }
   const Running& prefill = found->second;
   const protocol::Usage& usage = done.usage;
-  // An engine that reports no usage leaves us with the entry's estimate.
+  // For an engine that reports no usage, the entry's estimate is the only
+  // value.
   const double work =
       usage.prompt_tokens == 0
           ? static_cast<double>(prefill.prompt_tokens)
           : static_cast<double>(usage.prompt_tokens) -
                 std::min(usage.prompt_tokens, usage.cached_tokens);
-  this->forecast.OnFinished(done.attempt, std::max(kLeastWork, work), now);
+  this->forecast.OnFinished(done.attempt, std::max(kMinWorkTokens, work), now);
   this->forecast.OnError(now - prefill.predicted, now);
   this->prefixes.OnComputed(prefill.prefix, usage);
   this->EndRunning(done.attempt, now);
   const Duration lifetime = this->parts.options.export_lifetime;
   // A transfer that began within the lifetime may end after it, on a link that
-  // others share: an abort at the lifetime would take the export from under it
-  // and waste the prefill. One that stands still ends by the decode side's
-  // stall.
+  // others share: an abort at the lifetime would remove the export during the
+  // transfer and waste the prefill. A stalled transfer is ended by the stall
+  // timeout of the decode side.
   const Instant end = now + lifetime + this->parts.options.stall_timeout;
   this->exports.emplace(done.attempt, end);
   this->export_ends.Set(done.attempt, end);
@@ -162,8 +164,8 @@
     this->RefuseLate(late.start.attempt, now);
   }
   this->ExpireStalled(now);
-  // The engine evicts by itself; the one abort is for an engine that does
-  // not, whose memory would stay taken.
+  // The engine evicts exports by itself; the single abort is for an engine that
+  // does not, whose memory would stay in use.
   while (const std::optional<AttemptId> attempt =
              this->export_ends.PopDue(now)) {
     ++this->parts.counters.exports_lapsed;
@@ -172,16 +174,17 @@
   }
 }
 
-// A prefill that ended while this process stood still must not be aborted
-// before its engine's socket was read. A stall that is noticed late tells of
-// it; only once, so that an engine that stands still too is given up.
+// A prefill that ended while this process was stalled must not be aborted
+// before the engine's socket was read. A stall that is detected late indicates
+// this; it is deferred only once, so that a prefill in a stalled engine is
+// abandoned too.
 void PrefillWork::ExpireStalled(Instant now) {
   while (this->stalls.next() <= now) {
-    const bool late = now - this->stalls.next() >= kOwnPause;
+    const bool late = now - this->stalls.next() >= kProcessStall;
     const AttemptId attempt = *this->stalls.PopDue(now);
     if (late &&
         !std::exchange(this->running.at(attempt).stall_deferred, true)) {
-      this->stalls.Set(attempt, now + kListeningTime);
+      this->stalls.Set(attempt, now + kStallDeferral);
       continue;
     }
     this->parts.Fail(attempt, Phase::kPrefill, ResultCode::kEngineFailed,
--- a/src/agent/internal/prefill_work.h
+++ b/src/agent/internal/prefill_work.h
@@ -12,8 +12,8 @@
 
 namespace acacialug::agent {
 
-// Admission, queue and exports of a prefill endpoint. Attempts were admitted
-// by the attempt table before they come here. Not thread safe.
+// Admission, queue and exports of a prefill endpoint. The attempt table admits
+// attempts before they reach this class. Not thread safe.
 class PrefillWork {
  public:
   explicit PrefillWork(SharedParts& shared_parts);
@@ -24,13 +24,13 @@
   bool OnPrefillDone(const engine::PrefillDone& done, Instant now);
   bool OnFailed(const engine::AttemptFailed& failed, Instant now);
 
-  // Gives back all that the attempt holds; unknown is no error.
+  // Releases everything that the attempt holds; an unknown attempt is no error.
   void Release(const AttemptId& attempt, Instant now);
   void Expire(Instant now);
-  // The drain's grace is over: nothing stays.
+  // The drain's grace has ended: all remaining work is ended.
   void EndAll(Instant now);
 
-  // A bound of 0 leaves the one from the settings.
+  // A bound of 0 keeps the bound from the settings.
   void SetBounds(const manifest::Endpoint& endpoint);
   void FillLoad(protocol::EndpointLoad& load, Instant now) const;
   bool Holds(const AttemptId& attempt) const;
@@ -45,7 +45,7 @@
     protocol::PrefixChain prefix;
     std::uint64_t prompt_tokens = 0;
     Instant predicted;
-    bool stall_deferred = false;  // its stall was noticed late, and put off
+    bool stall_deferred = false;  // its stall was detected late and deferred
   };
 
   void Dispatch(Instant now);
--- a/src/agent/internal/prefix_memory.cc
+++ b/src/agent/internal/prefix_memory.cc
@@ -19,33 +19,33 @@
                               const protocol::Usage& usage) {
   const double matched = this->MatchedShare(prefix) * usage.prompt_tokens;
   if (matched > 0) {
-    const double came_true = std::min(1.0, usage.cached_tokens / matched);
-    this->trust += kTrustWeight * (came_true - this->trust);
+    const double hit_share = std::min(1.0, usage.cached_tokens / matched);
+    this->trust += kTrustWeight * (hit_share - this->trust);
   }
-  for (const std::uint64_t piece : prefix) {
-    this->Remember(piece);
+  for (const std::uint64_t block : prefix) {
+    this->Remember(block);
   }
 }
 
 double PrefixMemory::MatchedShare(const protocol::PrefixChain& prefix) const {
   const auto unmatched = std::find_if(
       prefix.begin(), prefix.end(),
-      [this](std::uint64_t piece) { return !this->places.contains(piece); });
+      [this](std::uint64_t block) { return !this->positions.contains(block); });
   return prefix.empty() ? 0
                         : static_cast<double>(unmatched - prefix.begin()) /
                               static_cast<double>(prefix.size());
 }
 
-void PrefixMemory::Remember(std::uint64_t piece) {
-  const auto known = this->places.find(piece);
-  if (known != this->places.end()) {
+void PrefixMemory::Remember(std::uint64_t block) {
+  const auto known = this->positions.find(block);
+  if (known != this->positions.end()) {
     this->recent.splice(this->recent.begin(), this->recent, known->second);
     return;
   }
-  this->recent.push_front(piece);
-  this->places.emplace(piece, this->recent.begin());
+  this->recent.push_front(block);
+  this->positions.emplace(block, this->recent.begin());
   if (this->recent.size() > this->limit) {
-    this->places.erase(this->recent.back());
+    this->positions.erase(this->recent.back());
     this->recent.pop_back();
   }
 }
--- a/src/agent/internal/prefix_memory.h
+++ b/src/agent/internal/prefix_memory.h
@@ -10,19 +10,19 @@
 
 namespace acacialug::agent {
 
-// Guesses how much of a prompt the engine's prefix cache holds, from the
-// prompts that it computed lately and from how far such guesses came true.
-// Without it a prompt that costs next to nothing is refused for its length.
-// Not thread safe.
+// Estimates how much of a prompt the engine's prefix cache holds, from the
+// prompts that it computed recently and from the accuracy of earlier estimates.
+// Without it a prompt that costs almost nothing is refused for its length. Not
+// thread safe.
 class PrefixMemory {
  public:
   explicit PrefixMemory(std::size_t max_blocks) : limit(max_blocks) {}
 
-  // Of `prompt_tokens`, how many are probably cached.
+  // The number of `prompt_tokens` that are probably cached.
   double CachedTokens(const protocol::PrefixChain& prefix,
                       std::uint64_t prompt_tokens) const;
 
-  // The engine computed the prompt and says how much of it was cached.
+  // The engine computed the prompt and reports how much of it was cached.
   void OnComputed(const protocol::PrefixChain& prefix,
                   const protocol::Usage& usage);
 
@@ -32,8 +32,9 @@
 
   std::size_t limit;
   std::list<std::uint64_t> recent;  // newest first
-  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> places;
-  double trust = 1.0;  // cached tokens a matched token, smoothed
+  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
+      positions;
+  double trust = 1.0;  // cached tokens for each matched token, smoothed
 };
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/session_table.cc
+++ b/src/agent/internal/session_table.cc
@@ -7,12 +7,14 @@
 namespace acacialug::agent {
 namespace {
 
-constexpr std::size_t kMaxSuperseded = 8;  // remembered incarnations, an entry
+constexpr std::size_t kMaxSuperseded = 8;  // remembered incarnations per entry
 constexpr std::size_t kMaxEntries = 4096;
-// So long a superseded start has to find its successor away.
+// The time for which the successor must have had no session before a superseded
+// start may return.
 constexpr Duration kVacancy = 15s;
-// A heartbeat of two sessions, and its answer with a load, which most have not:
-// 95 and 129 bytes with headers (docs/CAPACITY.md, `protocol.heartbeat_*`).
+// The bytes of a heartbeat of two sessions and of its answer with a load, which
+// most answers lack: 95 and 129 bytes with headers (docs/CAPACITY.md,
+// `protocol.heartbeat_*`).
 constexpr double kHeartbeatBytes = 95 + 129;
 
 }  // namespace
@@ -36,7 +38,7 @@
   }
   this->RememberBounded(hello.entry);
   Entry& entry = this->entries[hello.entry];
-  // A process that was paused while its successor took over may wake and
+  // A process that was paused while its successor took over may resume and
   // connect again. Without this check it would end the successor's streams.
   const auto superseded = std::find(entry.superseded.begin(),
                                     entry.superseded.end(), hello.incarnation);
@@ -62,10 +64,10 @@
   return greeting;
 }
 
-// Incarnations are random, so that this agent cannot tell which of two starts
-// is the newer. One that it had not met before, of a process that was paused
-// and has ended since, may have superseded the one that serves: that one must
-// not be turned away for ever.
+// Incarnations are random, so this agent cannot determine which of two starts
+// is the newer. A start that was unknown to this agent, of a process that was
+// paused and has ended since, may have superseded the serving start: the
+// serving start must not be refused for ever.
 bool SessionTable::MayReturn(Entry& entry, Instant now) {
   if (!entry.sessions.empty()) {
     entry.vacant_since.reset();
--- a/src/agent/internal/session_table.h
+++ b/src/agent/internal/session_table.h
@@ -21,12 +21,12 @@
 class SessionTable {
  public:
   struct Options {
-    Duration lease = 3s;  // the least
+    Duration lease = 3s;  // minimum
     heartbeat::HeartbeatBudget::Options heartbeats;
-    bool expire = true;  // false only to show that its absence is noticed
+    bool expire = true;  // false only to test that its absence is detected
   };
 
-  // What a Hello led to. With a `code` other than kOk the connection is to be
+  // The result of a Hello. With a `code` other than kOk the connection is to be
   // closed. The work of the sessions in `ended` is to be freed.
   struct Greeting {
     ResultCode code = ResultCode::kOk;
@@ -46,14 +46,16 @@
   bool Renew(SessionId session, const protocol::Renew& renew, Instant now);
 
   // Renews those of the listed sessions that this process start has open, and
-  // answers with lease and bits. Empty: it renews none, since it is late,
-  // doubled, or names sessions that are not its own or have ended.
+  // answers with lease and bits. Empty: the heartbeat renews no session, since
+  // it is late, duplicated, or names sessions that are not its own or have
+  // ended.
   std::optional<protocol::HeartbeatAnswer> RenewListed(
       const protocol::Heartbeat& heartbeat,
       Instant now);
 
-  // Of a session that is to be renewed so often: follows the entry's wish and
-  // this agent's own byte budget, within the longest interval.
+  // The lease of a session that is to be renewed at this interval: follows the
+  // interval that the entry requests and this agent's own byte budget, within
+  // the longest interval.
   Duration LeaseFor(Duration interval) const;
 
   // False: renewals cost more than the budget even at the longest interval.
@@ -65,7 +67,7 @@
   // An unknown session is no error.
   void Close(SessionId session);
 
-  // Takes out the sessions whose lease has ended.
+  // Removes the sessions whose lease has ended.
   std::vector<SessionId> Expire(Instant now);
 
   bool Contains(SessionId session) const;
@@ -88,12 +90,13 @@
     std::optional<Incarnation> incarnation;  // of the newest Hello
     std::deque<Incarnation> superseded;      // newest last
     std::unordered_set<SessionId> sessions;
-    // Since when a superseded start has asked while the newest had no session.
+    // The time since which a superseded start has requested a session while the
+    // newest start had none.
     std::optional<Instant> vacant_since;
   };
 
   static bool MayReturn(Entry& entry, Instant now);
-  // Never makes a running lease shorter: the entry counts on it.
+  // Never shortens a running lease, since the entry relies on it.
   void Extend(SessionId session, Duration lease, Instant now);
   double BytesPerRound() const;
   void RememberBounded(const EntryId& id);
--- a/src/agent/internal/shared_parts.h
+++ b/src/agent/internal/shared_parts.h
@@ -15,9 +15,9 @@
 using HoldingVisitor =
     std::function<void(const AttemptId& attempt, HeldKind kind)>;
 
-// What the parts of an AgentCore share; all of it outlives them. The methods
-// are the ways in which an attempt leaves: each keeps the attempt table, the
-// audit and the entry's knowledge alike. Not thread safe.
+// The state that the parts of an AgentCore share; all of it outlives them. The
+// methods are the ways in which an attempt ends: each keeps the attempt table,
+// the audit and the entry consistent. Not thread safe.
 struct SharedParts {
   const AgentOptions& options;
   Outbox& outbox;
@@ -25,7 +25,7 @@
   EngineAudit& audit;
   AgentCounters& counters;
 
-  // Sends to whoever waits for the attempt; nobody may.
+  // Sends to the session that waits for the attempt, if there is one.
   template <typename Message>
   void Reply(const AttemptId& attempt, Message message, Instant now) {
     const std::optional<SessionId> session = this->attempts.SessionOf(attempt);
@@ -34,14 +34,14 @@
     }
   }
 
-  // Nothing of the attempt ran. Precondition: that is provable.
+  // Nothing of the attempt ran. Precondition: this is provable.
   void Refuse(const AttemptId& attempt,
               protocol::Phase phase,
               ResultCode code,
               Duration retry_after,
               Instant now);
 
-  // The attempt ended badly here.
+  // The attempt failed here.
   void Fail(const AttemptId& attempt,
             protocol::Phase phase,
             ResultCode code,
--- a/src/agent/internal/stream_flow.cc
+++ b/src/agent/internal/stream_flow.cc
@@ -18,31 +18,31 @@
   this->taken = through.value + 1;
 }
 
-std::vector<StreamFlow::Piece> StreamFlow::TakeSendable() {
-  std::vector<Piece> pieces;
+std::vector<StreamFlow::Chunk> StreamFlow::TakeSendable() {
+  std::vector<Chunk> sendable;
   while (!this->waiting.empty() &&
          (this->window == 0 || this->Unacknowledged() < this->window)) {
-    pieces.push_back(std::move(this->waiting.front()));
+    sendable.push_back(std::move(this->waiting.front()));
     this->waiting.pop_front();
     ++this->sent;
   }
-  return pieces;
+  return sendable;
 }
 
 std::optional<bool> StreamFlow::TakePauseChange() {
   if (this->window == 0) {
     return std::nullopt;
   }
-  // Half a window apart, so that a reader at the engine's own pace does not
-  // switch it at every chunk.
+  // The two levels are half a window apart, so that a reader at the engine's
+  // own pace does not switch the engine at every chunk.
   const bool full = this->Unacknowledged() >= this->window;
-  const bool roomy =
+  const bool below_resume_level =
       this->waiting.empty() && this->Unacknowledged() <= this->window / 2;
   if (full && !this->engine_paused) {
     this->engine_paused = true;
     return true;
   }
-  if (roomy && this->engine_paused) {
+  if (below_resume_level && this->engine_paused) {
     this->engine_paused = false;
     return false;
   }
--- a/src/agent/internal/stream_flow.h
+++ b/src/agent/internal/stream_flow.h
@@ -12,12 +12,12 @@
 
 namespace acacialug::agent {
 
-// The back-pressure of one stream. At most `window` chunks go out beyond the
-// acknowledged one; what the engine had already sent when it was told to
-// pause waits here. Not thread safe.
+// The back-pressure of one stream. At most `window` chunks are sent beyond the
+// acknowledged one; chunks that the engine had already sent when it was paused
+// wait here. Not thread safe.
 class StreamFlow {
  public:
-  struct Piece {
+  struct Chunk {
     SequenceNumber sequence;
     std::string text;
     std::uint32_t tokens = 0;
@@ -29,26 +29,26 @@
   void Add(std::string text, std::uint32_t tokens);
 
   // All chunks up to and including `through` were taken. Numbers that were
-  // never sent, or were acknowledged before, change nothing.
+  // never sent, or were acknowledged before, have no effect.
   void Acknowledge(SequenceNumber through);
 
-  // What may go out now, in order, each piece once.
-  std::vector<Piece> TakeSendable();
+  // The chunks that may be sent now, in order, each once.
+  std::vector<Chunk> TakeSendable();
 
-  // Set when the engine has to be told to pause (true) or go on (false).
-  // Call after TakeSendable().
+  // Set when the engine has to be paused (true) or resumed (false). Call after
+  // TakeSendable().
   std::optional<bool> TakePauseChange();
 
   bool paused() const { return this->engine_paused; }
   bool nothing_waits() const { return this->waiting.empty(); }
-  // How many chunks the stream has so far.
+  // The number of chunks that the stream has now.
   SequenceNumber chunks() const { return SequenceNumber(this->made); }
 
  private:
   std::uint64_t Unacknowledged() const { return this->sent - this->taken; }
 
   std::uint32_t window;
-  std::deque<Piece> waiting;
+  std::deque<Chunk> waiting;
   std::uint64_t made = 0;
   std::uint64_t sent = 0;
   std::uint64_t taken = 0;
--- a/src/agent/internal/token_pace.h
+++ b/src/agent/internal/token_pace.h
@@ -7,26 +7,26 @@
 
 namespace acacialug::agent {
 
-// How fast this engine's streams go and how much of the asked length they
-// use, smoothed over recent streams. Not thread safe.
+// The pace of this engine's streams and the share of the requested length that
+// they use, smoothed over recent streams. Not thread safe.
 class TokenPace {
  public:
   explicit TokenPace(Duration initial_interval);
 
-  // A stream made `tokens` in `elapsed`. Zero tokens teach nothing.
+  // A stream made `tokens` in `elapsed`. Zero tokens have no effect.
   void OnTokens(Duration elapsed, std::uint32_t tokens);
 
-  // A stream ended after `produced` of the `asked` tokens.
+  // A stream ended after `produced` of the `requested` tokens.
   void OnFinished(std::uint32_t produced, std::uint32_t requested);
 
   Duration interval() const;
 
-  // The time that a stream is expected to take from here on.
+  // The remaining time that a stream is expected to take.
   Duration Remaining(std::uint32_t produced, std::uint32_t requested) const;
 
  private:
   double interval_seconds;
-  double used_share = 1.0;  // of the asked length
+  double used_share = 1.0;  // of the requested length
 };
 
 }  // namespace acacialug::agent
--- a/src/agent/internal/transfer_link.cc
+++ b/src/agent/internal/transfer_link.cc
@@ -20,10 +20,11 @@
   const Instant ready = After(now, ready_in);
   const Duration slack = std::max<Duration>(
       Duration::zero(), this->options.export_lifetime - length);
-  // Symptom: after a decode endpoint died, finished prefills are evicted while
-  // the other links stand idle now and then. Sequence: their reservations were
-  // lost, and new ones are refused for windows that were booked for prefills
-  // still to be computed. Cause: those can be moved, an export cannot wait.
+  // Guards against finished prefills that are evicted after a decode endpoint
+  // died, while the other links are partly idle. Their reservations were lost,
+  // and new ones were refused because of windows that were booked for prefills
+  // still to be computed. Those windows can be moved, but an export cannot
+  // wait.
   const bool is_ready = ready_in == Duration::zero();
   const Instant start = this->FirstGap(ready, length, is_ready);
   if (start > ready + slack) {
--- a/src/agent/internal/transfer_link.h
+++ b/src/agent/internal/transfer_link.h
@@ -11,9 +11,9 @@
 namespace acacialug::agent {
 
 // Windows on the rate-limited link by which KV caches reach a decode engine,
-// one transfer after the other at the full rate. Booked before the prefill:
-// without that, several prefills end together, their transfers share the
-// link, and the last ones find their export evicted. Not thread safe.
+// one transfer after the other at the full rate. They are booked before the
+// prefill: otherwise several prefills end together, their transfers share the
+// link, and the exports of the last ones are evicted. Not thread safe.
 class TransferLink {
  public:
   struct Options {
@@ -29,14 +29,15 @@
   explicit TransferLink(Options link_options) : options(link_options) {}
 
   // Books the first window from `ready_in` on that ends within the export's
-  // lifetime; a transfer longer than that must begin at once. What is ready now
-  // goes before windows of what was not when they were booked.
+  // lifetime; a transfer longer than that must begin at once. A transfer that
+  // is ready now goes before windows of transfers that were not ready when they
+  // were booked.
   Answer Book(const AttemptId& attempt,
               std::uint64_t bytes,
               Duration ready_in,
               Instant now);
 
-  // The transfer begins now: moves its window to the first gap from here on.
+  // The transfer begins now: its window moves to the first gap from now on.
   void Begin(const AttemptId& attempt, Instant now);
 
   // An unknown attempt is no error.
@@ -52,7 +53,7 @@
     Instant start;
     Instant end;
     AttemptId attempt;
-    bool ready = false;  // was so when booked, or the transfer began
+    bool ready = false;  // ready when booked, or transfer started
 
     friend auto operator<=>(const Window&, const Window&) = default;
   };
--- a/src/agent/internal/utilisation.cc
+++ b/src/agent/internal/utilisation.cc
@@ -15,12 +15,13 @@
 void Utilisation::NoteLoad(const protocol::EndpointLoad& load, Instant now) {
   this->mean = this->MeanAt(now);
   this->noted_at = now;
-  const double places = Share(static_cast<double>(load.running) + load.queued,
-                              static_cast<double>(load.limit));
+  const double slots_used =
+      Share(static_cast<double>(load.running) + load.queued,
+            static_cast<double>(load.limit));
   const double memory_used = Share(static_cast<double>(load.total_kv_tokens) -
                                        static_cast<double>(load.free_kv_tokens),
                                    static_cast<double>(load.total_kv_tokens));
-  this->current = std::max(places, memory_used);
+  this->current = std::max(slots_used, memory_used);
   if (!this->watched_since) {
     this->watched_since = now;
     this->mean = this->current;
--- a/src/agent/internal/utilisation.h
+++ b/src/agent/internal/utilisation.h
@@ -8,19 +8,19 @@
 
 namespace acacialug::agent {
 
-// How busy the endpoint was lately, as a share of what it can do: the mean of
-// its busiest resource, weighted by exp(-age / memory). A moment's value would
-// tell nothing of a prefill endpoint, which is either busy or not. Not thread
-// safe.
+// The recent utilisation of the endpoint, as a share of its capacity: the mean
+// of its busiest resource, weighted by exp(-age / memory). The value at one
+// moment is no estimate for a prefill endpoint, which is either busy or idle.
+// Not thread safe.
 class Utilisation {
  public:
   explicit Utilisation(Duration memory_length) : memory(memory_length) {}
 
-  // The load from now on, until the next call.
+  // Records the load from now on, until the next call.
   void NoteLoad(const protocol::EndpointLoad& load, Instant now);
 
-  // Empty before it was watched for the memory's length: an agent that just
-  // started must not take its endpoint for idle.
+  // Empty until the endpoint was observed for the length of `memory`: an agent
+  // that just started must not count its endpoint as idle.
   std::optional<double> At(Instant now) const;
 
  private:
--- a/src/agent/types/agent_messages.h
+++ b/src/agent/types/agent_messages.h
@@ -17,7 +17,7 @@
   protocol::AgentToEntry message;
 };
 
-// Ends the connection; the core already forgot the session.
+// Ends the connection; the core has already removed the session.
 struct CloseSession {
   SessionId session;
   ResultCode code = ResultCode::kOk;
@@ -28,11 +28,11 @@
 };
 
 // Reads or appends to the pool's stream of the platform's log; the answer goes
-// to OnMaintenanceRead or OnMaintenanceAppended. One at a time.
+// to OnMaintenanceRead or OnMaintenanceAppended. One operation runs at a time.
 using maintenance::AppendMaintenanceRecord;
 using maintenance::ReadMaintenanceStream;
 
-// What the process around an AgentCore has to do, in this order.
+// The actions that the process around an AgentCore has to take, in this order.
 using AgentAction = std::variant<SendToEntry,
                                  CloseSession,
                                  ExecuteOnEngine,
--- a/src/agent/types/held_attempt.h
+++ b/src/agent/types/held_attempt.h
@@ -9,7 +9,7 @@
 
 namespace acacialug::agent {
 
-// What an attempt takes at an endpoint.
+// The kind of resource that an attempt holds at an endpoint.
 enum class HeldKind : std::uint8_t {
   kReservation,
   kStream,
@@ -32,8 +32,8 @@
 struct HeldAttempt {
   AttemptId attempt;
   HeldKind kind = HeldKind::kReservation;
-  // Since the attempt's first message here. Zero for a call that goes on
-  // although nobody waits for it any more.
+  // The time since the attempt's first message here. Zero for a call that
+  // continues although no caller waits for it any more.
   Duration age{};
 
   friend bool operator==(const HeldAttempt&, const HeldAttempt&) = default;
--- a/src/agent/types/order_status.h
+++ b/src/agent/types/order_status.h
@@ -8,12 +8,13 @@
 
 namespace acacialug::agent {
 
-// Where the endpoint stands in being brought to what the manifest says.
+// The progress of bringing the endpoint to the state in the manifest.
 struct OrderStatus {
-  bool confirmed = false;  // the engine has told that it is as wanted
+  bool confirmed = false;  // the engine has reported the wanted state
   bool out = false;        // taken out of service by an order
   maintenance::MaintenanceIntent intent = maintenance::MaintenanceIntent::kKeep;
-  // Members of the pool that asked before; empty without an open claim.
+  // Members of the pool that are ahead in the queue; empty without an open
+  // claim.
   std::optional<std::uint64_t> members_ahead;
   std::uint64_t appends = 0;  // to the pool's stream
 };
