--- a/src/control/burn_report.h
+++ b/src/control/burn_report.h
@@ -15,8 +15,8 @@
 
 namespace acacialug::control {
 
-// What a row is about: one latency target, or both of a class. An error
-// misses every target.
+// The latency target that a row reports on, or both targets of a class. An
+// error misses every target.
 enum class Target : std::uint8_t {
   kBoth,
   kFirstToken,
@@ -37,10 +37,10 @@
     {Alarm::kPage, "page"},
 }};
 
-// An alarm rings while the budget burns at `burn_rate` or faster over a long
-// window and still does over a short one, so that it ends soon after the
-// cause. Windows and rates are those of Google's SRE workbook, chapter 5,
-// table 5-8: 2 %, 5 % and 10 % of 30 days' budget.
+// An alarm is active while the budget burns at `burn_rate` or faster over both
+// a long and a short window. The short window ends the alarm soon after its
+// cause has ended. Windows and rates are those of Google's SRE workbook,
+// chapter 5, table 5-8: 2 %, 5 % and 10 % of 30 days' budget.
 struct AlarmRule {
   Alarm alarm = Alarm::kNone;
   std::size_t long_window = 0;  // of service_levels::kReportWindows
@@ -62,13 +62,14 @@
      .burn_rate = 1},
 }};
 // The greatest burn rate that an objective allows is 1 / (1 - objective): 20
-// at 95 %, but 10 at 90 %, where nothing would ever reach 14.4. A rule's rate
-// is therefore at most this share of the greatest.
-inline constexpr double kMostOfGreatestRate = 0.9;
-// One miss in a quiet night is no alarm.
-inline constexpr std::uint64_t kLeastMissed = 5;
-
-// How fast a budget burns over one window; 1 spends just the budget.
+// at 95 %, but 10 at 90 %, where no burn rate can reach 14.4. The rate of a
+// rule is therefore limited to this share of the greatest burn rate.
+inline constexpr double kMaxShareOfGreatestRate = 0.9;
+// A single miss at low traffic must not raise an alarm.
+inline constexpr std::uint64_t kMinMissedRequests = 5;
+
+// How fast a budget burns over one window; a rate of 1 spends exactly the
+// budget.
 struct WindowBurn {
   std::uint64_t requests = 0;
   std::uint64_t missed = 0;
@@ -77,7 +78,7 @@
 using WindowBurns =
     std::array<WindowBurn, service_levels::kReportWindows.size()>;
 
-// One point of a plot, the newest first.
+// One point of a plot; the newest point is the first.
 struct TimelinePoint {
   std::uint64_t total = 0;
   double missed_share = 0;
@@ -87,7 +88,7 @@
   std::string service;
   std::string latency_class;
   Target target = Target::kBoth;
-  std::optional<double> objective;  // none: the manifest no longer has it
+  std::optional<double> objective;  // empty: not in the manifest any more
   Duration within{};                // the target; zero for kBoth
   // Over the budget's 30 days, as far as the data reaches:
   std::uint64_t requests = 0;
@@ -111,30 +112,31 @@
   std::vector<TimelinePoint> timeline;
 };
 
-enum class LogState : std::uint8_t { kNotAsked, kRead, kUnavailable };
+enum class LogState : std::uint8_t { kNotRequested, kRead, kUnavailable };
 inline constexpr EnumNames<LogState, 3> kLogStateNames = {{
-    {LogState::kNotAsked, "not_asked"},
+    {LogState::kNotRequested, "not_asked"},
     {LogState::kRead, "read"},
     {LogState::kUnavailable, "unavailable"},
 }};
 
-// Where a report's figures come from, and what it lacks.
+// The sources of a report's figures, and the data that is missing.
 struct BurnSources {
-  std::vector<std::string> unreachable;  // addresses that gave no answer
-  std::vector<std::string> unreadable;   // those whose answer was no good
+  std::vector<std::string> unreachable;  // addresses that did not answer
+  std::vector<std::string> unreadable;   // addresses with an invalid answer
   std::size_t entries = 0;
   std::size_t agents = 0;
-  std::size_t logged_entries = 0;  // known by the log alone
-  LogState log = LogState::kNotAsked;
+  std::size_t logged_entries = 0;  // known only from the log
+  LogState log = LogState::kNotRequested;
   std::uint64_t doubled_windows = 0;
   std::uint64_t missing_windows = 0;
   std::uint64_t missed_windows = 0;
   std::uint64_t future_windows = 0;
   std::uint64_t bad_records = 0;
-  // Agents' counters of what they refused or lost, since their starts.
+  // The agents' counters of refused and lost work since each agent started.
   std::map<std::string, std::uint64_t> agent_counters;
 
-  // Something was asked and not answered: the figures are a part.
+  // True when a process or the log was queried and did not answer: the figures
+  // are incomplete.
   bool partial() const;
 };
 
@@ -145,7 +147,7 @@
   std::vector<WasteRow> prefill;
 };
 
-// `sources` takes over what the summary knows of its gaps. Thread safe.
+// Adds the gaps that the summary lists to `sources`. Thread safe.
 BurnReport MakeBurnReport(const service_levels::LevelSummary& summary,
                           BurnSources sources);
 
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -20,12 +20,12 @@
   kUsage = 2,
   kInvalid = 4,      // the manifest breaks its schema
   kConflict = 5,     // another manifest is current
-  kUnavailable = 6,  // provably nothing was published
+  kUnavailable = 6,  // it is certain that nothing was published
   kUnresolved = 7,   // it is not known whether it was published
-  kTimeout = 8,      // `wait`: not in force everywhere in time
-  kNotFound = 9,     // all asked answered, and none knows the request or name
+  kTimeout = 8,      // `wait`: not active everywhere in time
+  kNotFound = 9,     // all processes answered; none has the request or name
   kRefused = 10,     // the settings of a process do not allow it
-  kPartial = 11,     // `report burn`: not all that was asked answered
+  kPartial = 11,     // `report burn`: some sources did not answer
 };
 
 // A flag of the program, for shell completion.
@@ -44,16 +44,17 @@
   Duration timeout = 5s;  // of one answer, and of `manifest wait`
   std::size_t max_answer_bytes = std::size_t{16} * 1024 * 1024;  // of one node
   std::vector<CommandFlag> flags;  // of the program, for `completion`
-  // Where text goes; standard output and standard error in the program.
+  // Write text; the program uses standard output and standard error.
   std::function<void(const std::string& text)> print;
   std::function<void(const std::string& text)> complain;
 };
 
-// The commands, one a line, as --help shows them. Thread safe.
+// The commands as --help shows them, one per line. Thread safe.
 std::string CommandsHelp();
 
-// Runs one command line, as `manifest publish FILE`. Needs a QCoreApplication.
-// Returns the exit code; every error is printed with its number.
+// Runs one command line, for example `manifest publish FILE`. Needs a
+// QCoreApplication. Returns the exit code; every error is printed with its
+// number.
 int RunCommand(const std::vector<std::string>& arguments,
                const CommandOptions& options);
 
--- a/src/control/internal/burn_command.cc
+++ b/src/control/internal/burn_command.cc
@@ -26,8 +26,8 @@
   file << RenderHtml(report);
   file.close();
   if (!file) {
-    return context.Complain(CommandExit::kFailed,
-                            "cannot write " + context.options.html_file);
+    return context.PrintError(CommandExit::kFailed,
+                              "cannot write " + context.options.html_file);
   }
   context.options.print("wrote " + context.options.html_file + "\n");
   return static_cast<int>(CommandExit::kOk);
@@ -55,7 +55,7 @@
     return static_cast<int>(CommandExit::kUsage);
   }
   if (!log && !context.options.log.empty()) {
-    return context.Complain(
+    return context.PrintError(
         CommandExit::kUsage,
         "--log: expected IP:PORT, found \"" + context.options.log + "\"");
   }
@@ -68,13 +68,13 @@
   const BurnReport report =
       MakeBurnReport(collected.fold.Finish(WallNow()), collected.sources);
   if (report.sources.entries == 0) {
-    return context.Complain(CommandExit::kFailed,
-                            "no entry answered, so no objective is known");
+    return context.PrintError(CommandExit::kFailed,
+                              "no entry answered, so no objective is known");
   }
   const int shown = Show(context, report);
   if (shown == static_cast<int>(CommandExit::kOk) && report.sources.partial()) {
-    return context.Complain(CommandExit::kPartial,
-                            "partial: see the report for what is missing");
+    return context.PrintError(CommandExit::kPartial,
+                              "partial: see the report for what is missing");
   }
   return shown;
 }
@@ -86,7 +86,7 @@
   if (rest == std::vector<std::string>{"burn"}) {
     return ReportBurn(context);
   }
-  return context.Complain(CommandExit::kUsage, "report: expected burn");
+  return context.PrintError(CommandExit::kUsage, "report: expected burn");
 }
 
 }  // namespace acacialug::control
--- a/src/control/internal/burn_report.cc
+++ b/src/control/internal/burn_report.cc
@@ -33,7 +33,8 @@
 
 std::uint64_t MissedOf(Target target, const LevelCounts& counts) {
   if (target == Target::kBoth) {
-    // A request may miss both targets: its causes add up to more.
+    // A request may miss both targets, so the sum of the causes can exceed the
+    // number of requests.
     return counts.total - std::min(counts.total, counts.good);
   }
   std::uint64_t missed = 0;
@@ -56,10 +57,11 @@
 bool Rings(const AlarmRule& rule,
            const WindowBurns& windows,
            double objective) {
-  const double rate =
-      std::min(rule.burn_rate, kMostOfGreatestRate * BurnRate(1, objective));
+  const double rate = std::min(
+      rule.burn_rate, kMaxShareOfGreatestRate * BurnRate(1, objective));
   const WindowBurn& over_long = windows[rule.long_window];
-  return over_long.missed >= kLeastMissed && over_long.burn_rate >= rate &&
+  return over_long.missed >= kMinMissedRequests &&
+         over_long.burn_rate >= rate &&
          windows[rule.short_window].burn_rate >= rate;
 }
 
@@ -84,8 +86,8 @@
   return causes;
 }
 
-// Sets all that follows from the counts. Precondition: target and objective
-// are set.
+// Sets all fields that follow from the counts. Precondition: target and
+// objective are set.
 void FillRow(const SeriesSums& sums, BurnRow& row) {
   const double objective = row.objective.value_or(0);
   for (std::size_t index = 0; index < row.windows.size(); ++index) {
@@ -140,8 +142,8 @@
       RowOf(objective, Target::kTokenInterval, objective.token_interval, sums));
 }
 
-// A class that was counted and is not in the manifest: removed since, or
-// beyond a process's number of label sets.
+// A class that has counts but is not in the manifest: it was removed since, or
+// it exceeds the number of label sets of a process.
 BurnRow RowWithoutObjective(const SeriesKey& key, const SeriesSums& sums) {
   BurnRow row{.service = key.service, .latency_class = key.latency_class};
   FillRow(sums, row);
--- a/src/control/internal/burn_report_html.cc
+++ b/src/control/internal/burn_report_html.cc
@@ -14,7 +14,7 @@
 constexpr double kPlotLeft = 56;  // for the labels of the axis
 constexpr double kPlotTop = 14;
 constexpr double kPlotBottom = 22;
-constexpr std::size_t kMostCauses = 8;  // of a plot; the table has them all
+constexpr std::size_t kMaxCauses = 8;  // of a plot; the table shows all causes
 
 std::string Escape(const std::string& text) {
   std::string escaped;
@@ -42,7 +42,7 @@
   return escaped;
 }
 
-// In groups of three, by a narrow space that does not break.
+// Groups the digits by three with a narrow no-break space.
 std::string Grouped(std::uint64_t number) {
   std::string text = std::to_string(number);
   for (std::size_t at = text.size(); at > 3;) {
@@ -95,7 +95,7 @@
 </style></head><body><h1>Service-level burn</h1>
 )";
 
-// What is left of the error budget.
+// A bar that shows the remaining error budget.
 std::string BudgetBar(const BurnRow& row) {
   const double left = std::clamp(row.budget_left, 0.0, 1.0);
   return Format(
@@ -106,8 +106,8 @@
       100 * row.budget_left, left > 0.25 ? "good" : "bad", 80 * left);
 }
 
-std::string NumberCell(const std::string& text, bool is_over = false) {
-  return std::string("<td class='number") + (is_over ? " over" : "") + "'>" +
+std::string NumberCell(const std::string& text, bool overspent = false) {
+  return std::string("<td class='number") + (overspent ? " over" : "") + "'>" +
          text + "</td>";
 }
 
@@ -167,13 +167,11 @@
          "the error budget in just 30 days.</p>\n";
 }
 
-// ---- plots ----
-
-// The top of the axis: a round share at or above what is shown.
-double TopOf(double most) {
+// The top of the axis: a round share at or above the largest share shown.
+double AxisTop(double max_share) {
   for (const double top :
        {0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5}) {
-    if (most <= top) {
+    if (max_share <= top) {
       return top;
     }
   }
@@ -196,7 +194,7 @@
       kPlotHeight - kPlotBottom - HeightOf(share, top) + 4, 100 * share);
 }
 
-// The newest point stands at the right.
+// The newest point is at the right.
 std::string PlotBars(const std::vector<TimelinePoint>& timeline,
                      double limit,
                      double top) {
@@ -208,7 +206,8 @@
     if (point.total == 0) {
       continue;
     }
-    // One pixel at least: no miss looks otherwise than no request.
+    // At least one pixel, so that a point with requests and no miss differs
+    // from a point without requests.
     const double height = std::max(HeightOf(point.missed_share, top), 1.0);
     html += Format(
         "<rect class='%s' x='%.1f' y='%.1f' width='%.1f' height='%.1f'>"
@@ -221,15 +220,15 @@
   return html;
 }
 
-// Shares over six hours; `limit` (0: none) is drawn across.
+// Plots shares over six hours, with a horizontal line at `limit` (0: no line).
 std::string Plot(const std::vector<TimelinePoint>& timeline,
                  double limit,
                  const std::string& label) {
-  double most = limit * 1.5;
+  double max_share = limit * 1.5;
   for (const TimelinePoint& point : timeline) {
-    most = std::max(most, point.missed_share);
+    max_share = std::max(max_share, point.missed_share);
   }
-  const double top = TopOf(most);
+  const double top = AxisTop(max_share);
   std::string html =
       Format(
           "<svg viewBox='0 0 %.0f %.0f' width='%.0f' height='%.0f' "
@@ -249,7 +248,7 @@
              kPlotLeft, kPlotHeight - 6, kPlotWidth, kPlotHeight - 6);
 }
 
-// A bar a cause, the greatest first.
+// One bar per cause, the largest first.
 std::string CausePlot(const std::map<std::string, std::uint64_t>& causes) {
   constexpr double kRow = 20;
   constexpr double kNames = 160;
@@ -259,7 +258,7 @@
                                                             causes.end());
   std::ranges::stable_sort(sorted, std::ranges::greater(),
                            [](const auto& item) { return item.second; });
-  sorted.resize(std::min(sorted.size(), kMostCauses));
+  sorted.resize(std::min(sorted.size(), kMaxCauses));
   if (sorted.empty()) {
     return {};
   }
@@ -286,7 +285,7 @@
   return html + "</svg>\n";
 }
 
-// A plot over time, and beside it the causes.
+// A plot over time with the causes beside it.
 std::string Section(const std::string& title,
                     const std::string& plot,
                     const std::string& cause_title,
--- a/src/control/internal/command_context.cc
+++ b/src/control/internal/command_context.cc
@@ -11,9 +11,9 @@
 namespace acacialug::control {
 namespace {
 
-constexpr int kLookMilliseconds = 5;
+constexpr int kPollMilliseconds = 5;
 
-// Runs the event loop until `done` or until the time is over.
+// Runs the event loop until `done` returns true or `time` has elapsed.
 bool WaitOnEventLoop(const std::function<bool()>& done, Duration time) {
   const Instant until = MonotonicNow() + time;
   while (!done()) {
@@ -21,13 +21,13 @@
       return false;
     }
     QEventLoop loop;
-    QTimer::singleShot(kLookMilliseconds, &loop, &QEventLoop::quit);
+    QTimer::singleShot(kPollMilliseconds, &loop, &QEventLoop::quit);
     loop.exec();
   }
   return true;
 }
 
-std::string Line(const Error& error) {
+std::string ErrorLine(const Error& error) {
   const ResultCode code = error.result_code();
   return std::to_string(static_cast<int>(code)) + " " +
          std::string(ResultCodeName(code)) + ": " +
@@ -66,8 +66,8 @@
   const std::optional<http::Address> address =
       http::ParseAddress(this->options.log);
   if (!address) {
-    this->Complain(CommandExit::kUsage, "--log: expected IP:PORT, found \"" +
-                                            this->options.log + "\"");
+    this->PrintError(CommandExit::kUsage, "--log: expected IP:PORT, found \"" +
+                                              this->options.log + "\"");
     return nullptr;
   }
   this->client = std::make_unique<http::Client>(http::ClientOptions{});
@@ -87,15 +87,15 @@
   for (const std::string& node : this->options.nodes) {
     const std::optional<http::Address> address = http::ParseAddress(node);
     if (!address) {
-      this->Complain(CommandExit::kUsage,
-                     "--nodes: expected IP:PORT, found \"" + node + "\"");
+      this->PrintError(CommandExit::kUsage,
+                       "--nodes: expected IP:PORT, found \"" + node + "\"");
       return {};
     }
     addresses.push_back(*address);
   }
   if (addresses.empty()) {
-    this->Complain(CommandExit::kUsage,
-                   "--nodes: expected at least one IP:PORT");
+    this->PrintError(CommandExit::kUsage,
+                     "--nodes: expected at least one IP:PORT");
   }
   return addresses;
 }
@@ -104,7 +104,7 @@
     const std::string& path) const {
   std::ifstream file(path);
   if (!file) {
-    this->Complain(Error(ResultCode::kSettingsUnreadable, path));
+    this->PrintError(Error(ResultCode::kSettingsUnreadable, path));
     return std::nullopt;
   }
   std::stringstream text;
@@ -112,31 +112,32 @@
   return text.str();
 }
 
-int CommandContext::Complain(const Error& error) const {
-  this->options.complain(Line(error) + "\n");
+int CommandContext::PrintError(const Error& error) const {
+  this->options.complain(ErrorLine(error) + "\n");
   return static_cast<int>(ExitOf(error.result_code()));
 }
 
-int CommandContext::Complain(const http::Address& node,
-                             const Error& error) const {
-  this->options.complain(http::ToString(node) + ": " + Line(error) + "\n");
+int CommandContext::PrintError(const http::Address& node,
+                               const Error& error) const {
+  this->options.complain(http::ToString(node) + ": " + ErrorLine(error) + "\n");
   return static_cast<int>(ExitOf(error.result_code()));
 }
 
-std::vector<NodeAnswer> CommandContext::AskAll(
+std::vector<NodeAnswer> CommandContext::QueryAll(
     const std::vector<http::Address>& nodes,
     const std::string& path) const {
-  std::vector<NodeQuestion> questions;
-  questions.reserve(nodes.size());
+  std::vector<NodeRequest> node_requests;
+  node_requests.reserve(nodes.size());
   for (const http::Address& node : nodes) {
-    questions.push_back({.address = node, .path = path});
+    node_requests.push_back({.address = node, .path = path});
   }
-  return AskNodes(questions,
-                  {.timeout = this->options.timeout,
-                   .max_answer_bytes = this->options.max_answer_bytes});
+  return QueryNodes(node_requests,
+                    {.timeout = this->options.timeout,
+                     .max_answer_bytes = this->options.max_answer_bytes});
 }
 
-int CommandContext::Complain(CommandExit exit, const std::string& text) const {
+int CommandContext::PrintError(CommandExit exit,
+                               const std::string& text) const {
   this->options.complain(text + "\n");
   return static_cast<int>(exit);
 }
--- a/src/control/internal/command_context.h
+++ b/src/control/internal/command_context.h
@@ -14,32 +14,33 @@
 
 namespace acacialug::control {
 
-// What commands share: the log of --log, and how errors are told.
+// State that commands share: the log of --log and the output of errors.
 class CommandContext {
  public:
   explicit CommandContext(const CommandOptions& command_options);
 
   const CommandOptions& options;
 
-  // Null, after a complaint, when --log is missing or no address.
+  // Prints an error and returns null when --log is missing or not an address.
   Publisher* OpenLog();
 
-  // The addresses of --nodes; empty, after a complaint, when there is none or
-  // one is no address.
+  // The addresses of --nodes. Prints an error and returns an empty list when
+  // there is none or one of them is not an address.
   std::vector<http::Address> Nodes() const;
 
-  // The text of a file; empty, after a complaint, when it cannot be read.
+  // The text of a file. Prints an error and returns an empty value when the
+  // file cannot be read.
   std::optional<std::string> ReadFile(const std::string& path) const;
 
-  // Tells an error with its number; returns the exit code that fits it.
-  int Complain(const Error& error) const;
-  int Complain(CommandExit exit, const std::string& text) const;
-  // The same, of one process.
-  int Complain(const http::Address& node, const Error& error) const;
+  // Prints an error with its number; returns the matching exit code.
+  int PrintError(const Error& error) const;
+  int PrintError(CommandExit exit, const std::string& text) const;
+  // The same for an error of one process.
+  int PrintError(const http::Address& node, const Error& error) const;
 
-  // Asks every address of --nodes for a page at once.
-  std::vector<NodeAnswer> AskAll(const std::vector<http::Address>& nodes,
-                                 const std::string& path) const;
+  // Fetches a page from all addresses of --nodes at once.
+  std::vector<NodeAnswer> QueryAll(const std::vector<http::Address>& nodes,
+                                   const std::string& path) const;
 
  private:
   RandomSource random;
@@ -48,7 +49,7 @@
   std::unique_ptr<Publisher> publisher;
 };
 
-// The commands of each subject; `rest` are the words behind the subject.
+// The commands of each subject; `rest` holds the words after the subject.
 int RunManifestCommand(CommandContext& context,
                        const std::vector<std::string>& rest);
 int RunStatusCommand(CommandContext& context,
--- a/src/control/internal/command_table.h
+++ b/src/control/internal/command_table.h
@@ -9,15 +9,15 @@
 namespace acacialug::control {
 
 // One command. Commands with the same first word have the same `run`, which
-// gets the words behind the first one.
+// gets the words after the first one.
 struct CommandRow {
   std::string words;      // "manifest check"
-  std::string arguments;  // "FILE"; upper case: to be filled in
+  std::string arguments;  // "FILE"; upper case: a placeholder
   std::string meaning;    // one line
   int (*run)(CommandContext& context, const std::vector<std::string>& rest);
 };
 
-// All commands: what RunCommand, --help and the shell completion go by.
+// All commands, for RunCommand, --help and the shell completion.
 // Thread safe: constant.
 const std::vector<CommandRow>& CommandTable();
 
--- a/src/control/internal/commands.cc
+++ b/src/control/internal/commands.cc
@@ -24,8 +24,8 @@
               return FirstWord(item) == arguments[0];
             });
   if (row == table.end()) {
-    return context.Complain(CommandExit::kUsage,
-                            "expected a command; see --help");
+    return context.PrintError(CommandExit::kUsage,
+                              "expected a command; see --help");
   }
   return row->run(context, {arguments.begin() + 1, arguments.end()});
 }
--- a/src/control/internal/completion.cc
+++ b/src/control/internal/completion.cc
@@ -1,4 +1,4 @@
-// The script for bash's completion, made from the table of commands.
+// Generates the bash completion script from the table of commands.
 #include <map>
 #include <set>
 
@@ -110,7 +110,7 @@
 int RunCompletionCommand(CommandContext& context,
                          const std::vector<std::string>& rest) {
   if (rest != std::vector<std::string>{"bash"}) {
-    return context.Complain(CommandExit::kUsage, "completion: expected bash");
+    return context.PrintError(CommandExit::kUsage, "completion: expected bash");
   }
   context.options.print(BashCompletion(context.options.flags));
   return static_cast<int>(CommandExit::kOk);
--- a/src/control/internal/endpoint_commands.cc
+++ b/src/control/internal/endpoint_commands.cc
@@ -1,4 +1,4 @@
-// `endpoints` and `drain`: what stands behind the addresses of --nodes.
+// `endpoints` and `drain`: the processes at the addresses of --nodes.
 #include <algorithm>
 #include <map>
 #include <nlohmann/json.hpp>
@@ -17,25 +17,25 @@
 constexpr int kFailed = static_cast<int>(CommandExit::kFailed);
 
 struct EndpointRow {
-  std::optional<NodeStatus> agent;  // when --nodes has it
-  EndpointSeen seen;                // else: by an entry that is connected
-  std::uint32_t entries = 0;        // that know it
+  std::optional<NodeStatus> agent;  // if --nodes includes it
+  EndpointView view;                // otherwise, by a connected entry
+  std::uint32_t entries = 0;        // that list it
   std::uint32_t connected = 0;      // of these
 };
 using EndpointRows = std::map<EndpointId, EndpointRow>;
 
-// The status of all that answered; of the others it complains, and sets
-// `exit`.
-std::vector<NodeStatus> AskStatus(const CommandContext& context,
-                                  const std::vector<http::Address>& nodes,
-                                  int& exit) {
+// The status of all processes that answered. Prints an error for each of the
+// others and sets `exit`.
+std::vector<NodeStatus> QueryStatus(const CommandContext& context,
+                                    const std::vector<http::Address>& nodes,
+                                    int& exit) {
   std::vector<NodeStatus> all;
-  for (const NodeAnswer& answer : context.AskAll(nodes, "/status")) {
+  for (const NodeAnswer& answer : context.QueryAll(nodes, "/status")) {
     const Result<NodeStatus> status = ReadStatus(answer);
     if (status.ok()) {
       all.push_back(*status);
     } else {
-      context.Complain(answer.address, status.error());
+      context.PrintError(answer.address, status.error());
       exit = kFailed;
     }
   }
@@ -48,12 +48,12 @@
     if (!node.is_entry) {
       rows[EndpointId(node.name)].agent = node;
     }
-    for (const auto& [id, seen] : node.endpoints) {
+    for (const auto& [id, view] : node.endpoints) {
       EndpointRow& row = rows[id];
       ++row.entries;
-      row.connected += seen.connected ? 1 : 0;
-      if (seen.connected || row.entries == 1) {
-        row.seen = seen;
+      row.connected += view.connected ? 1 : 0;
+      if (view.connected || row.entries == 1) {
+        row.view = view;
       }
     }
   }
@@ -81,7 +81,7 @@
                    "FREE KV TOKENS", "WORK AHEAD", "HELD", "MANIFEST",
                    "ENTRIES"});
   for (const auto& [id, row] : rows) {
-    const EndpointSeen& load = row.agent ? row.agent->load : row.seen;
+    const EndpointView& load = row.agent ? row.agent->load : row.view;
     table.Add({id.text, row.agent ? row.agent->role : "", StateOf(row),
                std::to_string(load.running) + "/" + std::to_string(load.limit),
                std::to_string(load.queued), std::to_string(load.free_kv_tokens),
@@ -96,7 +96,7 @@
 std::string RenderJson(const EndpointRows& rows) {
   Json all = Json::array();
   for (const auto& [id, row] : rows) {
-    const EndpointSeen& load = row.agent ? row.agent->load : row.seen;
+    const EndpointView& load = row.agent ? row.agent->load : row.view;
     Json item = {{"endpoint", id.text},
                  {"state", StateOf(row)},
                  {"running", load.running},
@@ -117,8 +117,6 @@
   return all.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-// ---- drain ----
-
 // The one process of that name. Errors: kInvalidParameter, when there is none
 // or more than one, so that nothing is drained by mistake.
 Result<NodeStatus> FindNode(const std::vector<NodeStatus>& nodes,
@@ -138,11 +136,11 @@
   return *found;
 }
 
-// Tells how one process answered; the exit code that fits.
-int TellDrain(const CommandContext& context,
-              const std::string& name,
-              const NodeAnswer& answer,
-              Json& rows) {
+// Reports the answer of one process; returns the matching exit code.
+int ReportDrain(const CommandContext& context,
+                const std::string& name,
+                const NodeAnswer& answer,
+                Json& rows) {
   constexpr int kAccepted = 202;
   if (answer.response.ok() && answer.response->status == kAccepted) {
     rows.push_back({{"name", name},
@@ -153,21 +151,22 @@
     }
     return kOk;
   }
-  return context.Complain(answer.address, answer.response.ok()
-                                              ? ErrorOf(*answer.response)
-                                              : answer.response.error());
+  return context.PrintError(answer.address, answer.response.ok()
+                                                ? ErrorOf(*answer.response)
+                                                : answer.response.error());
 }
 
-std::vector<NodeQuestion> DrainQuestions(const std::vector<NodeStatus>& nodes) {
-  std::vector<NodeQuestion> questions;
-  questions.reserve(nodes.size());
+std::vector<NodeRequest> DrainRequests(const std::vector<NodeStatus>& nodes) {
+  std::vector<NodeRequest> node_requests;
+  node_requests.reserve(nodes.size());
   for (const NodeStatus& node : nodes) {
-    questions.push_back({.address = node.address,
-                         .method = "POST",
-                         .path = std::string(operations::kDrainPath),
-                         .body = operations::RenderDrainRequest(node.name)});
+    node_requests.push_back(
+        {.address = node.address,
+         .method = "POST",
+         .path = std::string(operations::kDrainPath),
+         .body = operations::RenderDrainRequest(node.name)});
   }
-  return questions;
+  return node_requests;
 }
 
 }  // namespace
@@ -175,15 +174,15 @@
 int RunEndpointsCommand(CommandContext& context,
                         const std::vector<std::string>& rest) {
   if (!rest.empty()) {
-    return context.Complain(CommandExit::kUsage,
-                            "endpoints: expected no argument");
+    return context.PrintError(CommandExit::kUsage,
+                              "endpoints: expected no argument");
   }
   const std::vector<http::Address> nodes = context.Nodes();
   if (nodes.empty()) {
     return static_cast<int>(CommandExit::kUsage);
   }
   int exit = kOk;
-  const EndpointRows rows = MergeEndpoints(AskStatus(context, nodes, exit));
+  const EndpointRows rows = MergeEndpoints(QueryStatus(context, nodes, exit));
   context.options.print(context.options.json ? RenderJson(rows)
                                              : RenderTable(rows));
   return exit;
@@ -192,30 +191,30 @@
 int RunDrainCommand(CommandContext& context,
                     const std::vector<std::string>& rest) {
   if (rest.empty()) {
-    return context.Complain(CommandExit::kUsage,
-                            "drain: expected at least one NAME");
+    return context.PrintError(CommandExit::kUsage,
+                              "drain: expected at least one NAME");
   }
   const std::vector<http::Address> nodes = context.Nodes();
   if (nodes.empty()) {
     return static_cast<int>(CommandExit::kUsage);
   }
   int exit = kOk;
-  const std::vector<NodeStatus> known = AskStatus(context, nodes, exit);
+  const std::vector<NodeStatus> known = QueryStatus(context, nodes, exit);
   std::vector<NodeStatus> chosen;
   for (const std::string& name : rest) {
     const Result<NodeStatus> node = FindNode(known, name);
     if (!node.ok()) {
-      context.Complain(node.error());
+      context.PrintError(node.error());
       return exit == kOk ? static_cast<int>(CommandExit::kNotFound) : exit;
     }
     chosen.push_back(*node);
   }
-  exit = kOk;  // who was not named need not answer
+  exit = kOk;  // a process that was not named need not answer
   Json rows = Json::array();
   const std::vector<NodeAnswer> answers =
-      AskNodes(DrainQuestions(chosen), {.timeout = context.options.timeout});
+      QueryNodes(DrainRequests(chosen), {.timeout = context.options.timeout});
   for (std::size_t at = 0; at < answers.size(); ++at) {
-    exit = std::max(exit, TellDrain(context, rest[at], answers[at], rows));
+    exit = std::max(exit, ReportDrain(context, rest[at], answers[at], rows));
   }
   if (context.options.json) {
     context.options.print(rows.dump(2) + "\n");
--- a/src/control/internal/level_collector.cc
+++ b/src/control/internal/level_collector.cc
@@ -23,7 +23,7 @@
 constexpr std::size_t kRecordsPerRead = 64;
 constexpr int kStatusNotFound = 404;
 
-// What an agent counts that costs a request its target.
+// The counters of an agent for events that make a request miss its target.
 constexpr std::array<std::string_view, 6> kAgentCounters = {
     "refused",         "engine_failures",
     "sessions_lapsed", "reservations_lapsed",
@@ -49,9 +49,9 @@
       .push_back(address);
 }
 
-void AskAgents(const std::vector<http::Address>& agents,
-               Duration timeout,
-               BurnSources& sources) {
+void QueryAgents(const std::vector<http::Address>& agents,
+                 Duration timeout,
+                 BurnSources& sources) {
   for (const ScrapedPage& page : Scrape(agents, "/metrics.json", timeout, {})) {
     const std::string address = http::ToString(page.address);
     if (!page.body.ok()) {
@@ -69,20 +69,20 @@
   }
 }
 
-// Returns the nodes that are no entries.
-std::vector<http::Address> AskEntries(const CollectorOptions& options,
-                                      Collected& into) {
+// Returns the nodes that are not entries.
+std::vector<http::Address> QueryEntries(const CollectorOptions& options,
+                                        Collected& into) {
   std::vector<http::Address> others;
-  std::vector<NodeQuestion> questions;
-  questions.reserve(options.nodes.size());
+  std::vector<NodeRequest> node_requests;
+  node_requests.reserve(options.nodes.size());
   for (const http::Address& node : options.nodes) {
-    questions.push_back(
+    node_requests.push_back(
         {.address = node, .path = service_levels::kLevelPagePath});
   }
   for (const NodeAnswer& answer :
-       AskNodes(questions, {.timeout = options.timeout,
-                           .max_answer_bytes = options.max_answer_bytes,
-                           .on_progress = options.on_progress})) {
+       QueryNodes(node_requests, {.timeout = options.timeout,
+                                 .max_answer_bytes = options.max_answer_bytes,
+                                 .on_progress = options.on_progress})) {
     const std::string address = http::ToString(answer.address);
     if (!answer.response.ok()) {
       NameFailed(answer.response.error(), address, into.sources);
@@ -103,12 +103,12 @@
   return others;
 }
 
-// One read, waited for on the event loop; empty when no answer came in time.
+// Reads once and waits on the event loop; empty when no answer arrived in time.
 std::optional<cluster::ILog::Read> ReadOnce(cluster::ILog& log,
                                             LogOffset from,
                                             Duration timeout) {
   QEventLoop loop;
-  // Shared: an answer may come after the wait was given up.
+  // Shared, because an answer may arrive after the wait has timed out.
   auto answer = std::make_shared<std::optional<cluster::ILog::Read>>();
   auto waiting = std::make_shared<QEventLoop*>(&loop);
   log.ReadFrom(service_levels::kDigestStream, from, kRecordsPerRead,
@@ -142,7 +142,8 @@
     if (!read) {
       return false;
     }
-    // Records are appended while this reads: it stops at the first end seen.
+    // Records are appended during the read, so the loop stops at the end that
+    // the first answer named.
     end = end.value_or(read->next);
     for (const cluster::ILog::Record& record : read->records) {
       fold.AddRecord(record.payload);
@@ -161,8 +162,8 @@
 
 Collected CollectLevels(const CollectorOptions& options) {
   Collected collected;
-  const std::vector<http::Address> others = AskEntries(options, collected);
-  AskAgents(others, options.timeout, collected.sources);
+  const std::vector<http::Address> others = QueryEntries(options, collected);
+  QueryAgents(others, options.timeout, collected.sources);
   if (options.log) {
     http::Client client({.silence_timeout = options.timeout});
     cluster::HttpLog log(*options.log, client);
--- a/src/control/internal/manifest_commands.cc
+++ b/src/control/internal/manifest_commands.cc
@@ -34,7 +34,7 @@
   return kOk;
 }
 
-// A file, or the word "current" for what the log has in force.
+// Loads a file, or the log's active manifest for the word "current".
 Result<manifest::Manifest> Load(CommandContext& context,
                                 const std::string& name) {
   if (name != kCurrent) {
@@ -60,11 +60,11 @@
          const std::string& after_name) {
   const Result<manifest::Manifest> before = Load(context, before_name);
   if (!before.ok()) {
-    return context.Complain(before.error());
+    return context.PrintError(before.error());
   }
   const Result<manifest::Manifest> after = Load(context, after_name);
   if (!after.ok()) {
-    return context.Complain(after.error());
+    return context.PrintError(after.error());
   }
   Json rows = Json::array();
   std::string text;
@@ -89,7 +89,7 @@
   }
   const Result<Judgement> judgement = log->Publish(*text, path);
   if (!judgement.ok()) {
-    return context.Complain(judgement.error());
+    return context.PrintError(judgement.error());
   }
   context.options.print(
       context.options.json
@@ -109,11 +109,11 @@
   }
   const Result<ConfigurationHistory> history = log->ReadHistory();
   if (!history.ok()) {
-    return context.Complain(history.error());
+    return context.PrintError(history.error());
   }
   const configuration::AcceptedManifest* current = history->current();
   if (current == nullptr) {
-    return context.Complain(CommandExit::kFailed, "no manifest is published");
+    return context.PrintError(CommandExit::kFailed, "no manifest is published");
   }
   context.options.print(
       context.options.json
@@ -134,7 +134,7 @@
   }
   const Result<ConfigurationHistory> history = log->ReadHistory();
   if (!history.ok()) {
-    return context.Complain(history.error());
+    return context.PrintError(history.error());
   }
   Json rows = Json::array();
   std::string text;
@@ -155,7 +155,7 @@
   return kOk;
 }
 
-std::uint64_t OffsetInForce(const ScrapedPage& page) {
+std::uint64_t ActiveOffset(const ScrapedPage& page) {
   if (!page.body.ok()) {
     return 0;
   }
@@ -167,35 +167,36 @@
   return status["manifest"].value("offset", std::uint64_t{0});
 }
 
-// Those of the processes that do not have the manifest yet, or do not answer.
-std::vector<http::Address> StillBehind(
+// The processes that do not have the manifest yet or do not answer.
+std::vector<http::Address> ProcessesBehind(
     const std::vector<http::Address>& processes,
     std::uint64_t wanted,
     Duration timeout) {
   std::vector<http::Address> behind;
   for (const ScrapedPage& page : Scrape(processes, "/status", timeout, {})) {
-    if (OffsetInForce(page) < wanted) {
+    if (ActiveOffset(page) < wanted) {
       behind.push_back(page.address);
     }
   }
   return behind;
 }
 
-// Without a pause between two looks one that is behind was asked as fast as
-// all could answer: a core of the operator's and load on every process.
-constexpr std::chrono::milliseconds kLookInterval{100};
+// Without a pause between two polls, a process that is behind is queried as
+// fast as the processes can answer. That occupies a core of the operator's
+// machine and puts load on every process.
+constexpr std::chrono::milliseconds kPollInterval{100};
 
 int Wait(CommandContext& context, const std::string& offset_text) {
   const std::uint64_t wanted = std::strtoull(offset_text.c_str(), nullptr, 10);
   const std::vector<http::Address> nodes = context.Nodes();
   if (wanted == 0 || nodes.empty()) {
-    return context.Complain(CommandExit::kUsage,
-                            "manifest wait: expected OFFSET and --nodes");
+    return context.PrintError(CommandExit::kUsage,
+                              "manifest wait: expected OFFSET and --nodes");
   }
   const Instant until = MonotonicNow() + context.options.timeout;
   std::vector<http::Address> behind = nodes;
   for (;;) {
-    behind = StillBehind(behind, wanted, context.options.timeout);
+    behind = ProcessesBehind(behind, wanted, context.options.timeout);
     if (behind.empty()) {
       context.options.print("in force on " + std::to_string(nodes.size()) +
                             " processes\n");
@@ -204,13 +205,14 @@
     if (MonotonicNow() >= until) {
       break;
     }
-    std::this_thread::sleep_for(kLookInterval);
+    std::this_thread::sleep_for(kPollInterval);
   }
   std::string names;
   for (const http::Address& address : behind) {
     names += " " + http::ToString(address);
   }
-  return context.Complain(CommandExit::kTimeout, "not yet in force on" + names);
+  return context.PrintError(CommandExit::kTimeout,
+                            "not yet in force on" + names);
 }
 
 }  // namespace
@@ -236,7 +238,7 @@
   if (verb == "wait" && rest.size() == 2) {
     return Wait(context, rest[1]);
   }
-  return context.Complain(
+  return context.PrintError(
       CommandExit::kUsage,
       "manifest: expected check FILE, diff A B, publish FILE, show, history "
       "or wait OFFSET");
--- a/src/control/internal/manifest_diff.cc
+++ b/src/control/internal/manifest_diff.cc
@@ -7,7 +7,7 @@
 namespace {
 
 using Json = nlohmann::ordered_json;
-// An item's name, and all that it says in one comparable text.
+// An item's name, and all its values in one comparable text.
 using Items = std::map<std::string, std::string>;
 
 Json ToJson(const manifest::LatencyClass& item) {
--- a/src/control/internal/node_commands.cc
+++ b/src/control/internal/node_commands.cc
@@ -12,7 +12,7 @@
 constexpr int kOk = static_cast<int>(CommandExit::kOk);
 constexpr int kFailed = static_cast<int>(CommandExit::kFailed);
 
-// One line a process.
+// One line per process.
 std::string StatusLine(const NodeStatus& status) {
   std::string line = http::ToString(status.address) + "  " +
                      (status.is_entry ? "entry" : "agent") + "  " +
@@ -25,7 +25,7 @@
     line += "  manifest " + std::to_string(status.manifest_offset);
   }
   if (!status.is_entry) {
-    const EndpointSeen& load = status.load;
+    const EndpointView& load = status.load;
     line += "  " + status.role + " " + std::to_string(load.running) + "/" +
             std::to_string(load.limit) + " running, " +
             std::to_string(load.queued) + " queued, " +
@@ -39,8 +39,8 @@
 int RunStatusCommand(CommandContext& context,
                      const std::vector<std::string>& rest) {
   if (!rest.empty()) {
-    return context.Complain(CommandExit::kUsage,
-                            "status: expected no argument");
+    return context.PrintError(CommandExit::kUsage,
+                              "status: expected no argument");
   }
   const std::vector<http::Address> nodes = context.Nodes();
   if (nodes.empty()) {
@@ -48,10 +48,10 @@
   }
   int exit = kOk;
   Json rows = Json::array();
-  for (const NodeAnswer& answer : context.AskAll(nodes, "/status")) {
+  for (const NodeAnswer& answer : context.QueryAll(nodes, "/status")) {
     const Result<NodeStatus> status = ReadStatus(answer);
     if (!status.ok()) {
-      context.Complain(answer.address, status.error());
+      context.PrintError(answer.address, status.error());
       exit = kFailed;
       continue;
     }
--- a/src/control/internal/node_pages.cc
+++ b/src/control/internal/node_pages.cc
@@ -13,10 +13,10 @@
 
 constexpr int kOk = 200;
 constexpr int kServerErrors = 500;
-constexpr int kShownBytes = 80;  // of an answer that cannot be used
+constexpr int kShownBytes = 80;  // of an invalid answer
 
-EndpointSeen ReadLoad(const Json& load) {
-  EndpointSeen seen{
+EndpointView ReadLoad(const Json& load) {
+  EndpointView seen{
       .running = load.at("running").get<std::uint32_t>(),
       .limit = load.at("limit").get<std::uint32_t>(),
       .queued = load.at("queued").get<std::uint32_t>(),
@@ -29,14 +29,15 @@
   return seen;
 }
 
-// An endpoint's load comes from the shard that was told of it last; which one
-// that was nobody knows, so any connected one's is shown.
+// The newest load of an endpoint is that of the shard that received a report
+// last. The page does not name this shard, so the load of any connected shard
+// is shown.
 void ReadShard(const Json& shard, NodeStatus& status) {
   for (const auto& [id, view] : shard.at("endpoints").items()) {
     const bool connected = view.at("connected").get<bool>();
     const auto [found, first] =
         status.endpoints.try_emplace(EndpointId(id), ReadLoad(view.at("load")));
-    EndpointSeen& seen = found->second;
+    EndpointView& seen = found->second;
     const bool all = connected && (first || seen.connected);
     if (connected) {
       seen = ReadLoad(view.at("load"));
--- a/src/control/internal/node_pages.h
+++ b/src/control/internal/node_pages.h
@@ -14,8 +14,8 @@
 
 namespace acacialug::control {
 
-// What one entry sees of an endpoint, all its shards together.
-struct EndpointSeen {
+// An endpoint's state as one entry sees it, merged from the entry's shards.
+struct EndpointView {
   bool connected = false;  // by every shard
   std::uint32_t running = 0;
   std::uint32_t limit = 0;
@@ -31,15 +31,15 @@
   std::string name;  // of the entry, or of the agent's endpoint
   bool ready = false;
   bool draining = false;
-  std::uint64_t manifest_offset = 0;             // 0: none in force
-  std::map<EndpointId, EndpointSeen> endpoints;  // of an entry
+  std::uint64_t manifest_offset = 0;             // 0: none active
+  std::map<EndpointId, EndpointView> endpoints;  // of an entry
   std::string role;                              // of an agent
-  EndpointSeen load;                             // of an agent
+  EndpointView load;                             // of an agent
   std::size_t held_attempts = 0;                 // of an agent
 };
 
 // The error that an operations port answered, by the number in its body;
-// kNodeBadAnswer when there is none of ours. Thread safe.
+// kNodeBadAnswer when the body has no known number. Thread safe.
 Error ErrorOf(const http::Response& response);
 
 // Reads an answer to /status. Errors: those of the answer, kNodeBadAnswer.
--- a/src/control/internal/publisher.cc
+++ b/src/control/internal/publisher.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kRecordsPerRead = 512;
-constexpr Duration kAnswerPatience = 5s;
+constexpr Duration kAnswerTimeout = 5s;
 
 using configuration::ConfigurationHistory;
 using configuration::Judgement;
@@ -37,7 +37,7 @@
                        *answer = std::move(read);
                      });
   if (!this->options.wait([answer] { return answer->has_value(); },
-                          kAnswerPatience)) {
+                          kAnswerTimeout)) {
     return Error(ResultCode::kPlatformUnavailable, "the log does not answer");
   }
   return **answer;
@@ -49,7 +49,7 @@
       this->options.stream, payload,
       [answer](const Result<LogOffset>& result) { *answer = result; });
   if (!this->options.wait([answer] { return answer->has_value(); },
-                          kAnswerPatience)) {
+                          kAnswerTimeout)) {
     return Error(ResultCode::kAppendUnresolved, "the log does not answer");
   }
   return **answer;
@@ -144,11 +144,13 @@
   return this->Resolve(appended.ok() ? std::string() : payload, publication);
 }
 
-// `payload` empty: the append was answered, only the verdict is read. Else the
-// record may stand in the log or not: it is looked for, and sent again.
+// With an empty `payload` the append was answered, and only the judgement is
+// read. Otherwise the record may or may not be in the log: it is searched for
+// and sent again.
 Result<Judgement> Publisher::Resolve(const std::string& payload,
                                      const RequestId& publication) {
-  const auto tries = this->options.patience / this->options.retry_interval;
+  const auto tries =
+      this->options.outcome_timeout / this->options.retry_interval;
   bool appended = payload.empty();
   for (auto i = tries; i > 0; --i) {
     const Result<ConfigurationHistory> history = this->ReadHistory();
--- a/src/control/internal/report_format.cc
+++ b/src/control/internal/report_format.cc
@@ -109,7 +109,7 @@
   const BurnSources& sources = report.sources;
   std::string text = Number(sources.entries) + " entries, " +
                      Number(sources.agents) + " agents; ";
-  text += sources.log == LogState::kNotAsked
+  text += sources.log == LogState::kNotRequested
               ? "log not asked"
               : Number(sources.logged_entries) + " entries by the log alone";
   return text + "; data of " + DurationText(report.covered);
--- a/src/control/internal/report_format.h
+++ b/src/control/internal/report_format.h
@@ -22,20 +22,20 @@
   return text;
 }
 
-// "2 h 5 min", in its two greatest units. Thread safe.
+// "2 h 5 min": the duration in its two largest units. Thread safe.
 std::string DurationText(Duration duration);
 
 // "first_token 2.0 s", or the target's name alone. Thread safe.
 std::string TargetText(const BurnRow& row);
 
-// The greatest first: "overloaded 12, late_first_token 3". Thread safe.
+// The largest count first: "overloaded 12, late_first_token 3". Thread safe.
 std::string CausesText(const std::map<std::string, std::uint64_t>& causes);
 
-// What the sources lack, a sentence each; empty when nothing is known to be
-// missing. Thread safe.
+// One sentence for each gap of the sources; empty when no gap is known. Thread
+// safe.
 std::vector<std::string> GapTexts(const BurnReport& report);
 
-// Where the figures come from, in one sentence. Thread safe.
+// The sources of the figures, in one sentence. Thread safe.
 std::string SourcesText(const BurnReport& report);
 
 }  // namespace acacialug::control
--- a/src/control/internal/request_commands.cc
+++ b/src/control/internal/request_commands.cc
@@ -1,4 +1,4 @@
-// `requests` and `explain`: what entries and agents tell of requests, merged.
+// `requests` and `explain`: merges the reports of entries and agents.
 #include <algorithm>
 #include <map>
 #include <nlohmann/json.hpp>
@@ -26,9 +26,9 @@
   agent::HeldAttempt attempt;
 };
 
-// What is known of one request.
+// The merged reports on one request.
 struct RequestRow {
-  EntryId entry;  // empty: no asked entry knows it
+  EntryId entry;  // empty: unknown to all queried entries
   std::optional<trace::Trace> trace;
   std::vector<Held> held;
 
@@ -42,46 +42,44 @@
 };
 using RequestRows = std::map<RequestId, RequestRow>;
 
-struct Asked {
+struct MergedRequests {
   RequestRows rows;
   std::vector<EntryRequests> entries;  // without their requests
-  bool faults = false;                 // something did not answer as it should
+  bool faults = false;                 // a process did not answer correctly
 };
 
-void Add(const EntryRequests& page, Asked& asked) {
+void Add(const EntryRequests& page, MergedRequests& merged) {
   for (const trace::Trace& trace : page.requests) {
-    RequestRow& row = asked.rows[trace.subject.request];
+    RequestRow& row = merged.rows[trace.subject.request];
     row.entry = page.entry;
     row.trace = trace;
   }
-  asked.entries.push_back({.entry = page.entry, .counts = page.counts});
+  merged.entries.push_back({.entry = page.entry, .counts = page.counts});
 }
 
-void Add(const AgentRequests& page, Asked& asked) {
+void Add(const AgentRequests& page, MergedRequests& merged) {
   for (const agent::HeldAttempt& attempt : page.attempts) {
-    asked.rows[attempt.attempt.request].held.push_back(
+    merged.rows[attempt.attempt.request].held.push_back(
         {.endpoint = page.endpoint, .attempt = attempt});
   }
 }
 
-Asked AskRequests(const CommandContext& context,
-                  const std::vector<http::Address>& nodes,
-                  const std::string& path) {
-  Asked asked;
-  for (const NodeAnswer& answer : context.AskAll(nodes, path)) {
+MergedRequests QueryRequests(const CommandContext& context,
+                             const std::vector<http::Address>& nodes,
+                             const std::string& path) {
+  MergedRequests merged;
+  for (const NodeAnswer& answer : context.QueryAll(nodes, path)) {
     const Result<RequestsPage> page = ReadRequests(answer);
     if (page.ok()) {
-      std::visit([&asked](const auto& kind) { Add(kind, asked); }, *page);
+      std::visit([&merged](const auto& kind) { Add(kind, merged); }, *page);
     } else if (page.error().result_code() != ResultCode::kUnknownRequest) {
-      context.Complain(answer.address, page.error());
-      asked.faults = true;
+      context.PrintError(answer.address, page.error());
+      merged.faults = true;
     }
   }
-  return asked;
+  return merged;
 }
 
-// ---- JSON ----
-
 Json HeldJson(const std::vector<Held>& held) {
   Json rows = Json::array();
   for (const Held& item : held) {
@@ -93,7 +91,7 @@
   return rows;
 }
 
-// As the entry's page has it, with what agents tell beside it.
+// The request as on the entry's page, with the reports of agents added.
 Json RowJson(const RequestId& request, const RequestRow& row) {
   Json json = {{"request", ToString(request)}};
   if (row.trace) {
@@ -110,8 +108,6 @@
   return json.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-// ---- text ----
-
 std::string StepText(const trace::Step& step) {
   std::string text(NameOf(trace::kStepKindNames, step.kind));
   return step.endpoint.empty() ? text : text + " " + step.endpoint.text;
@@ -144,10 +140,10 @@
   return cells;
 }
 
-// The oldest first: those are what one looks for.
-std::string RenderRequests(const Asked& asked) {
+// The oldest requests come first: operators look for these.
+std::string RenderRequests(const MergedRequests& merged) {
   std::vector<const RequestRows::value_type*> rows;
-  for (const RequestRows::value_type& row : asked.rows) {
+  for (const RequestRows::value_type& row : merged.rows) {
     rows.push_back(&row);
   }
   std::stable_sort(rows.begin(), rows.end(),
@@ -253,13 +249,13 @@
   return text + "\n" + table.Render();
 }
 
-Json RequestsJson(const Asked& asked) {
+Json RequestsJson(const MergedRequests& merged) {
   Json requests = Json::array();
-  for (const auto& [request, row] : asked.rows) {
+  for (const auto& [request, row] : merged.rows) {
     requests.push_back(RowJson(request, row));
   }
   Json entries = Json::array();
-  for (const EntryRequests& entry : asked.entries) {
+  for (const EntryRequests& entry : merged.entries) {
     Json page = Json::parse(operations::RenderRequestsPage(entry));
     page.erase("requests");
     entries.push_back(std::move(page));
@@ -272,53 +268,54 @@
 int RunRequestsCommand(CommandContext& context,
                        const std::vector<std::string>& rest) {
   if (!rest.empty()) {
-    return context.Complain(CommandExit::kUsage,
-                            "requests: expected no argument");
+    return context.PrintError(CommandExit::kUsage,
+                              "requests: expected no argument");
   }
   const std::vector<http::Address> nodes = context.Nodes();
   if (nodes.empty()) {
     return static_cast<int>(CommandExit::kUsage);
   }
-  const Asked asked =
-      AskRequests(context, nodes, std::string(operations::kRequestsPath));
-  context.options.print(context.options.json ? Dump(RequestsJson(asked))
-                                             : RenderRequests(asked));
-  return asked.faults ? kFailed : kOk;
+  const MergedRequests merged =
+      QueryRequests(context, nodes, std::string(operations::kRequestsPath));
+  context.options.print(context.options.json ? Dump(RequestsJson(merged))
+                                             : RenderRequests(merged));
+  return merged.faults ? kFailed : kOk;
 }
 
 int RunExplainCommand(CommandContext& context,
                       const std::vector<std::string>& rest) {
   if (rest.size() != 1) {
-    return context.Complain(CommandExit::kUsage,
-                            "explain: expected one REQUEST");
+    return context.PrintError(CommandExit::kUsage,
+                              "explain: expected one REQUEST");
   }
   const std::optional<RequestId> request = ParseRequestId(rest[0]);
   if (!request) {
-    context.Complain(Error(ResultCode::kInvalidParameter,
-                           "explain: expected 32 hexadecimal digits, as in "
-                           "X-Request-Id; found \"" +
-                               rest[0] + "\""));
+    context.PrintError(Error(ResultCode::kInvalidParameter,
+                             "explain: expected 32 hexadecimal digits, as in "
+                             "X-Request-Id; found \"" +
+                                 rest[0] + "\""));
     return static_cast<int>(CommandExit::kUsage);
   }
   const std::vector<http::Address> nodes = context.Nodes();
   if (nodes.empty()) {
     return static_cast<int>(CommandExit::kUsage);
   }
-  const Asked asked = AskRequests(
+  const MergedRequests merged = QueryRequests(
       context, nodes,
       std::string(operations::kRequestsPath) + "/" + ToString(*request));
-  const auto row = asked.rows.find(*request);
-  if (row != asked.rows.end()) {
+  const auto row = merged.rows.find(*request);
+  if (row != merged.rows.end()) {
     context.options.print(context.options.json
                               ? Dump(RowJson(row->first, row->second))
                               : Explain(row->first, row->second));
     return kOk;
   }
-  if (asked.faults) {
-    return context.Complain(CommandExit::kFailed,
-                            "who answered knows nothing of this request");
+  if (merged.faults) {
+    return context.PrintError(
+        CommandExit::kFailed,
+        "the processes that answered do not know this request");
   }
-  return context.Complain(
+  return context.PrintError(
       Error(ResultCode::kUnknownRequest, ToString(*request)));
 }
 
--- a/src/control/internal/scraper.cc
+++ b/src/control/internal/scraper.cc
@@ -17,14 +17,14 @@
 // One exchange with a process, from request to answer.
 class NodeExchange {
  public:
-  NodeExchange(QNetworkReply* network_reply, const AskOptions& ask_options)
-      : options(ask_options), reply(network_reply) {
+  NodeExchange(QNetworkReply* network_reply, const QueryOptions& query_options)
+      : options(query_options), reply(network_reply) {
     QObject::connect(reply, &QNetworkReply::readyRead, reply,
                      [this] { this->Read(); });
   }
 
-  // The transfer timeout of Qt's network access counts silence only: a process
-  // that sends a byte now and then would hold the command for ever.
+  // The transfer timeout of Qt's network access restarts with each byte: a
+  // process that sends single bytes would block the command without end.
   void StopAtTimeout() {
     if (!this->reply->isFinished()) {
       this->late = true;
@@ -65,7 +65,7 @@
     }
   }
 
-  const AskOptions& options;
+  const QueryOptions& options;
   QNetworkReply* reply;
   std::string body;
   bool too_large = false;
@@ -73,37 +73,38 @@
 };
 
 QNetworkReply* Send(QNetworkAccessManager& manager,
-                    const NodeQuestion& question) {
+                    const NodeRequest& node_request) {
   QNetworkRequest request(QUrl(QString::fromStdString(
-      "http://" + http::ToString(question.address) + question.path)));
-  // Whoever answers at an address that was given must not send this program to
-  // another one.
+      "http://" + http::ToString(node_request.address) + node_request.path)));
+  // A process at a given address must not redirect this program to another
+  // address.
   request.setAttribute(QNetworkRequest::RedirectPolicyAttribute,
                        QNetworkRequest::ManualRedirectPolicy);
-  if (question.method == "POST") {
+  if (node_request.method == "POST") {
     request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
-    return manager.post(request, QByteArray::fromStdString(question.body));
+    return manager.post(request, QByteArray::fromStdString(node_request.body));
   }
   return manager.get(request);
 }
 
 }  // namespace
 
-std::vector<NodeAnswer> AskNodes(const std::vector<NodeQuestion>& questions,
-                                 const AskOptions& options) {
+std::vector<NodeAnswer> QueryNodes(
+    const std::vector<NodeRequest>& node_requests,
+    const QueryOptions& options) {
   QNetworkAccessManager manager;
   QEventLoop loop;
   std::vector<std::unique_ptr<NodeExchange>> exchanges;
   std::size_t done = 0;
-  for (const NodeQuestion& question : questions) {
-    QNetworkReply* const reply = Send(manager, question);
+  for (const NodeRequest& node_request : node_requests) {
+    QNetworkReply* const reply = Send(manager, node_request);
     exchanges.push_back(std::make_unique<NodeExchange>(reply, options));
     QObject::connect(reply, &QNetworkReply::finished, &loop, [&] {
       ++done;
       if (options.on_progress) {
         options.on_progress(done);
       }
-      if (done == questions.size()) {
+      if (done == node_requests.size()) {
         loop.quit();
       }
     });
@@ -115,14 +116,14 @@
           exchange->StopAtTimeout();
         }
       });
-  if (done < questions.size()) {
+  if (done < node_requests.size()) {
     loop.exec();
   }
   std::vector<NodeAnswer> answers;
-  answers.reserve(questions.size());
-  for (std::size_t at = 0; at < questions.size(); ++at) {
-    answers.push_back(
-        {.address = questions[at].address, .response = exchanges[at]->Take()});
+  answers.reserve(node_requests.size());
+  for (std::size_t at = 0; at < node_requests.size(); ++at) {
+    answers.push_back({.address = node_requests[at].address,
+                       .response = exchanges[at]->Take()});
     exchanges[at]->Reply()->disconnect();
   }
   return answers;
@@ -133,14 +134,14 @@
     const std::string& path,
     Duration timeout,
     const std::function<void(std::size_t done)>& on_progress) {
-  std::vector<NodeQuestion> questions;
-  questions.reserve(addresses.size());
+  std::vector<NodeRequest> node_requests;
+  node_requests.reserve(addresses.size());
   for (const http::Address& address : addresses) {
-    questions.push_back({.address = address, .path = path});
+    node_requests.push_back({.address = address, .path = path});
   }
   std::vector<ScrapedPage> pages;
-  for (NodeAnswer& answer :
-       AskNodes(questions, {.timeout = timeout, .on_progress = on_progress})) {
+  for (NodeAnswer& answer : QueryNodes(
+           node_requests, {.timeout = timeout, .on_progress = on_progress})) {
     Result<std::string> body =
         Error(ResultCode::kNodeBadAnswer, "another status than 200");
     if (!answer.response.ok()) {
--- a/src/control/internal/text_table.h
+++ b/src/control/internal/text_table.h
@@ -18,8 +18,9 @@
     this->rows.push_back(std::move(cells));
   }
 
-  // An empty cell shows as "-", and a control character as "?": names come
-  // from other hosts, and would otherwise steer the terminal.
+  // An empty cell shows as "-" and a control character as "?": names come from
+  // other hosts, and their control characters could otherwise send commands to
+  // the terminal.
   std::string Render() const;
 
  private:
--- a/src/control/level_collector.h
+++ b/src/control/level_collector.h
@@ -16,7 +16,7 @@
 
 struct CollectorOptions {
   std::vector<http::Address> nodes;  // operations ports, of both kinds
-  std::optional<http::Address> log;  // none: live processes alone
+  std::optional<http::Address> log;  // empty: only live processes
   Duration timeout = 5s;             // of all processes, and of each read
   std::size_t max_answer_bytes = std::size_t{16} * 1024 * 1024;  // of one
   std::function<void(std::size_t done)> on_progress;             // may be empty
@@ -27,15 +27,16 @@
   BurnSources sources;
 };
 
-// Asks all nodes at once, then the log for what gone entries left. A node that
-// answers 404 where entries show their service levels is an agent, and gives
-// its counters. What cannot be had is named in the sources. Needs a
-// QCoreApplication; runs its event loop meanwhile. One thread.
+// Queries all nodes at once, then reads the digests of stopped entries from the
+// log. A node that answers 404 at the path of the service level page is an
+// agent, and its counters are read. The sources list what could not be read.
+// Needs a QCoreApplication; runs its event loop meanwhile. One thread.
 Collected CollectLevels(const CollectorOptions& options);
 
-// Reads the stream of digests from its start to the end that it had when
-// asked. False: the log gave no answer in time, or a bad one; what was read
-// before is in the fold. As above.
+// Reads the stream of digests from its start to the end that it had at the
+// first read. Returns false when the log did not answer in time or answered
+// badly; the records read before that are in the fold. Needs a
+// QCoreApplication; runs its event loop meanwhile. One thread.
 bool ReadDigests(cluster::ILog& log,
                  Duration timeout,
                  service_levels::LevelFold& fold);
--- a/src/control/manifest_diff.h
+++ b/src/control/manifest_diff.h
@@ -17,7 +17,7 @@
     {ChangeKind::kChanged, "changed"},
 }};
 
-// One item that two manifests do not have in common.
+// One item in which two manifests differ.
 struct Change {
   ChangeKind kind = ChangeKind::kChanged;
   std::string section;  // "service", "endpoint", "caller", "domain"
@@ -26,7 +26,8 @@
   friend bool operator==(const Change&, const Change&) = default;
 };
 
-// What `after` has otherwise than `before`, by section and name. Thread safe.
+// The items of `after` that differ from `before`, by section and name. Thread
+// safe.
 std::vector<Change> DiffManifests(const manifest::Manifest& before,
                                   const manifest::Manifest& after);
 
--- a/src/control/publisher.h
+++ b/src/control/publisher.h
@@ -14,15 +14,16 @@
 namespace acacialug::control {
 
 struct PublisherOptions {
-  std::string stream;     // of the log, that holds manifests
-  std::string publisher;  // who asks, for people
-  // Publishes what differs from the current text. Every reader has to know
-  // such records: older programs take them for invalid and fall behind.
+  std::string stream;     // the log's stream of manifests
+  std::string publisher;  // the publisher, shown to operators
+  // Publishes what differs from the current text. Every reader has to
+  // support such records: older programs treat them as invalid and keep an
+  // older manifest.
   bool as_delta = false;
-  Duration patience = 20s;  // until the outcome is called unresolved
+  Duration outcome_timeout = 20s;  // until the outcome counts as unresolved
   Duration retry_interval = 500ms;
-  // Lets time pass while an answer is waited for: runs the event loop until
-  // `done`, or until the time is over, and says which (true: done).
+  // Waits for an answer: runs the event loop until `done` returns true or
+  // `time` has elapsed. Returns true when done.
   std::function<bool(const std::function<bool()>& done, Duration time)> wait;
 };
 
@@ -34,28 +35,30 @@
             cluster::ILog& platform_log,
             RandomSource& random_source);
 
-  // The stream read to its end. Errors: kPlatformUnavailable,
+  // Reads the stream to its end. Errors: kPlatformUnavailable,
   // kPlatformBadAnswer; kManifestStale when the stream's start is gone and no
   // checkpoint covers it.
   Result<configuration::ConfigurationHistory> ReadHistory();
 
-  // Publishes a text, and tells what the log made of it. A lost append answer
-  // is resolved by reading; the record is sent again under the same
-  // publication, of which only one can be accepted, since the second no longer
-  // names the current manifest. Errors: those of ParseManifest, nothing was
-  // appended; kManifestConflict with what won (if it is known beforehand,
-  // nothing was appended); kPlatformUnavailable (provably not appended);
-  // kAppendUnresolved (still unknown when patience ended).
+  // Publishes a text and returns the judgement that follows from the log. When
+  // the answer to an append is lost, the outcome is read from the log, and the
+  // record is sent again under the same publication. At most one of these
+  // records can be accepted, since the second one does not name the current
+  // manifest any more. Errors: those of ParseManifest (nothing was appended);
+  // kManifestConflict with the winning manifest (nothing was appended if the
+  // conflict was known beforehand); kPlatformUnavailable (certainly not
+  // appended); kAppendUnresolved (still unknown at the timeout).
   Result<configuration::Judgement> Publish(const std::string& text,
                                            const std::string& source);
 
  private:
   Result<cluster::ILog::Read> ReadFrom(LogOffset from);
   Result<LogOffset> Append(const std::string& payload);
-  // The current manifest's text, which this one replaces; empty: none is.
+  // The text of the current manifest, which `text` replaces; empty when there
+  // is none.
   Result<std::string> CheckCurrent(const std::string& text,
                                    const std::string& source);
-  // Precondition: CheckCurrent found `text` sound.
+  // Precondition: CheckCurrent accepted `text`.
   configuration::ConfigurationRecord MakeRecord(const std::string& text,
                                                 const std::string& current);
   Result<configuration::Judgement> Resolve(const std::string& payload,
--- a/src/control/scraper.h
+++ b/src/control/scraper.h
@@ -13,33 +13,35 @@
 namespace acacialug::control {
 
 // One request to a process's operations port.
-struct NodeQuestion {
+struct NodeRequest {
   http::Address address;
   std::string method = "GET";
   std::string path;
   std::string body;  // JSON, of POST only
 };
 
-// What came back. Errors: kNodeUnreachable (no answer in time), kNodeBadAnswer
-// (more bytes than allowed). A status other than 2xx is an answer too.
+// The outcome of one request. Errors: kNodeUnreachable (no answer in time),
+// kNodeBadAnswer (more bytes than allowed). A status other than 2xx is an
+// answer too.
 struct NodeAnswer {
   http::Address address;
   Result<http::Response> response;
 };
 
-struct AskOptions {
+struct QueryOptions {
   Duration timeout = 5s;  // of all answers together
   std::size_t max_answer_bytes = std::size_t{16} * 1024 * 1024;
-  // Gets how many are done; may be empty.
+  // Called with the number of finished requests; may be empty.
   std::function<void(std::size_t done)> on_progress;
 };
 
-// Asks all at once, by Qt's network access, and returns when every one has
-// answered or the timeout is over; answers stand in the order of the
-// questions. Redirects are not followed. Needs a QCoreApplication; runs its
+// Sends all requests at once by Qt's network access. Returns when every process
+// has answered or the timeout has elapsed; the answers are in the order of the
+// requests. Redirects are not followed. Needs a QCoreApplication; runs its
 // event loop meanwhile. One thread.
-std::vector<NodeAnswer> AskNodes(const std::vector<NodeQuestion>& questions,
-                                 const AskOptions& options);
+std::vector<NodeAnswer> QueryNodes(
+    const std::vector<NodeRequest>& node_requests,
+    const QueryOptions& options);
 
 // One process's answer.
 struct ScrapedPage {
@@ -48,7 +50,7 @@
   Result<std::string> body;
 };
 
-// AskNodes for one page of each address, with its default bound on bytes.
+// Fetches one page of each address, with the default limit of bytes.
 std::vector<ScrapedPage> Scrape(
     const std::vector<http::Address>& addresses,
     const std::string& path,
--- a/src/control/tests/burn_report_test.cc
+++ b/src/control/tests/burn_report_test.cc
@@ -32,7 +32,8 @@
   return summary;
 }
 
-// 100 requests: 80 good, 5 late at first, 3 between, 2 both, 10 refused.
+// 100 requests: 80 are good, 5 have a late first token, 3 a late token
+// interval, 2 both, and 10 are refused.
 LevelCounts MixedCounts() {
   return {.total = 100,
           .good = 80,
@@ -78,7 +79,7 @@
 const testing::Story kBurn(
     "a burn report",
     {testing::ForEach<TargetRow>(
-         "tells compliance, budget left and causes for target",
+         "shows compliance, budget left and causes for target",
          {{Target::kBoth, 80, -1.0, 3},
           {Target::kFirstToken, 83, -0.7, 2},
           {Target::kTokenInterval, 85, -0.5, 2}},
@@ -105,7 +106,7 @@
           CPPUNIT_ASSERT(report.rows[0].target == Target::kAnswer);
           CPPUNIT_ASSERT(report.rows[0].within == 400ms);
         }),
-     It("tells the wasted share of prefill work",
+     It("shows the wasted share of prefill work",
         [] {
           const BurnReport report = MakeBurnReport(MixedSummary(), {});
           CPPUNIT_ASSERT_DOUBLES_EQUAL(0.02, report.prefill.at(0).ratio, 1e-9);
@@ -123,7 +124,7 @@
            1000,
            {15, 15, 15, 3, 0.5, 0.1},
            Alarm::kPage},
-          {"no page when the fast burn is over",
+          {"no page when the fast burn has ended",
            0.95,
            1000,
            {0, 5, 15, 3, 0.5, 0.1},
@@ -143,12 +144,13 @@
            1000,
            {1.5, 1.5, 1.5, 1.5, 1.5, 0.2},
            Alarm::kTicket},
-          {"no alarm for a miss in a quiet night",
+          {"no alarm for a single miss at low traffic",
            0.95,
            1,
            {20, 20, 20, 20, 20, 20},
            Alarm::kNone},
-          // 90 % allows no burn above 10: 14.4 would never ring.
+          // An objective of 90 % allows no burn rate above 10, so a rule
+          // at 14.4 would never raise an alarm.
           {"a page when all fails below an objective of 90 %",
            0.9,
            1000,
@@ -178,7 +180,7 @@
           CPPUNIT_ASSERT(report.rows[0].alarm == Alarm::kNone);
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, report.rows[0].requests);
         }),
-     It("says in every form what is missing from it",
+     It("lists its gaps in every form",
         [] {
           LevelSummary summary = MixedSummary();
           summary.missing_windows = 3;
@@ -202,9 +204,9 @@
           CPPUNIT_ASSERT(json["rows"][0]["causes"]["overloaded"] == 10);
           CPPUNIT_ASSERT(json["prefill"][0]["wasted_tokens"] == 20);
         }),
-     // Symptom: a service's name runs as script in an operator's browser.
-     // Sequence: a pipeline publishes a name with markup; somebody opens the
-     // page. Cause: names put into the page as they came.
+     // Guards against a service name that runs as a script in an operator's
+     // browser: a pipeline publishes a name with markup, and the page holds the
+     // name unescaped.
      It("is one page that loads nothing and holds names as text",
         [] {
           LevelSummary summary = SummaryOf(
@@ -221,15 +223,18 @@
           CPPUNIT_ASSERT(page.find("&lt;script&gt;") != std::string::npos);
           CPPUNIT_ASSERT(page.find("<svg") != std::string::npos);
         }),
-     It("of a system without requests has spent nothing, in every form", [] {
-       const BurnReport report =
-           MakeBurnReport(SummaryOf(kDesk, 0.9, true), {});
-       CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, report.rows.at(0).budget_left, 1e-9);
-       CPPUNIT_ASSERT(!report.sources.partial());
-       CPPUNIT_ASSERT(RenderText(report).find("desk") != std::string::npos);
-       CPPUNIT_ASSERT(RenderJson(report).find("\"desk\"") != std::string::npos);
-       CPPUNIT_ASSERT(RenderHtml(report).find("<svg") != std::string::npos);
-     })});
+     It("of a system without requests shows no spent budget, in every form",
+        [] {
+          const BurnReport report =
+              MakeBurnReport(SummaryOf(kDesk, 0.9, true), {});
+          CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, report.rows.at(0).budget_left,
+                                       1e-9);
+          CPPUNIT_ASSERT(!report.sources.partial());
+          CPPUNIT_ASSERT(RenderText(report).find("desk") != std::string::npos);
+          CPPUNIT_ASSERT(RenderJson(report).find("\"desk\"") !=
+                         std::string::npos);
+          CPPUNIT_ASSERT(RenderHtml(report).find("<svg") != std::string::npos);
+        })});
 
 }  // namespace
 }  // namespace acacialug::control
--- a/src/control/tests/level_collector_test.cc
+++ b/src/control/tests/level_collector_test.cc
@@ -57,7 +57,7 @@
   http::Server server;
 };
 
-// A port that nobody else can take, and on which nobody listens.
+// A port that is reserved and on which no process listens.
 struct ClosedPort {
   ClosedPort() {
     CPPUNIT_ASSERT(this->socket.bind(QHostAddress::LocalHost, 0));
@@ -106,10 +106,11 @@
   return CollectLevels({.nodes = more, .timeout = 2s});
 }
 
-// A stream of one record a digest window, of which retention took the start.
+// A stream with one record per digest window, whose start was removed by
+// retention.
 class ShortenedLog : public cluster::ILog {
  public:
-  enum class Fault { kNone, kOut, kSilent, kOutLater };
+  enum class Fault { kNone, kUnavailable, kNoAnswer, kUnavailableLater };
 
   ShortenedLog(Fault log_fault, std::uint64_t first)
       : fault(log_fault), first_kept(first) {}
@@ -123,18 +124,20 @@
                 Duration,
                 std::function<void(Result<Read>)> on_done) override {
     ++this->reads;
-    if (this->fault == Fault::kSilent) {
+    if (this->fault == Fault::kNoAnswer) {
       return;
     }
-    const bool is_out = this->fault == Fault::kOut ||
-                        (this->fault == Fault::kOutLater && this->reads > 1);
-    QTimer::singleShot(0, &this->context, [this, on_done, from, limit, is_out] {
-      if (is_out) {
-        on_done(Error(ResultCode::kPlatformUnavailable));
-      } else {
-        on_done(this->Answer(from, limit));
-      }
-    });
+    const bool unavailable =
+        this->fault == Fault::kUnavailable ||
+        (this->fault == Fault::kUnavailableLater && this->reads > 1);
+    QTimer::singleShot(0, &this->context,
+                       [this, on_done, from, limit, unavailable] {
+                         if (unavailable) {
+                           on_done(Error(ResultCode::kPlatformUnavailable));
+                         } else {
+                           on_done(this->Answer(from, limit));
+                         }
+                       });
   }
 
  private:
@@ -170,11 +173,11 @@
   std::uint64_t total;
 };
 
-// What `report burn` says of one node that answers, and one more.
+// A case of `report burn` with one node that answers and one other node.
 struct CommandRow {
   std::string name;
   bool has_entry;
-  std::string more;  // --nodes beside it; "closed": where nobody listens
+  std::string more;  // --nodes beside it; "closed": no process listens
   std::string log;   // the same
   CommandExit exit;
 };
@@ -182,7 +185,7 @@
 struct CommandRun {
   int exit = 0;
   std::string printed;
-  std::string complained;
+  std::string errors;
 };
 
 CommandRun ReportBurn(const CommandRow& row) {
@@ -204,7 +207,7 @@
        .json = true,
        .timeout = 2s,
        .print = [&](const std::string& text) { run.printed += text; },
-       .complain = [&](const std::string& text) { run.complained += text; }});
+       .complain = [&](const std::string& text) { run.errors += text; }});
   return run;
 }
 
@@ -231,12 +234,12 @@
           CPPUNIT_ASSERT_EQUAL(
               shown, run.printed.find("\"desk\"") != std::string::npos);
           CPPUNIT_ASSERT_EQUAL(row.exit == CommandExit::kOk,
-                               run.complained.empty());
+                               run.errors.empty());
         })});
 
 const testing::Story kCollector(
     "the collector of a burn report",
-    {It("adds up twelve entries, and knows agents by their missing page",
+    {It("adds up twelve entries, and detects agents by their missing page",
         [] {
           std::vector<std::unique_ptr<Node>> nodes;
           nodes.reserve(13);
@@ -276,21 +279,22 @@
      testing::ForEach<LogRow>(
          "reads the digests of a log",
          {{"to its end, in parts", ShortenedLog::Fault::kNone, 0, true, 300},
-          {"whose start retention took", ShortenedLog::Fault::kNone, 250, true,
-           50},
-          {"that holds nothing any more", ShortenedLog::Fault::kNone, 300, true,
-           0},
-          {"that is out: not at all", ShortenedLog::Fault::kOut, 0, false, 0},
-          {"that never answers: not at all", ShortenedLog::Fault::kSilent, 0,
+          {"whose start was removed by retention", ShortenedLog::Fault::kNone,
+           250, true, 50},
+          {"whose records were all removed", ShortenedLog::Fault::kNone, 300,
+           true, 0},
+          {"that is unavailable: not at all", ShortenedLog::Fault::kUnavailable,
+           0, false, 0},
+          {"that never answers: not at all", ShortenedLog::Fault::kNoAnswer, 0,
            false, 0},
-          {"that goes out meanwhile: in part", ShortenedLog::Fault::kOutLater,
-           0, false, 64}},
+          {"that becomes unavailable meanwhile: in part",
+           ShortenedLog::Fault::kUnavailableLater, 0, false, 64}},
          [](const LogRow& row) { return row.name; },
          [](const LogRow& row) {
            ShortenedLog log(row.fault, row.first_kept);
            LevelFold fold;
            const Duration timeout =
-               row.fault == ShortenedLog::Fault::kSilent ? 1ms : 20s;
+               row.fault == ShortenedLog::Fault::kNoAnswer ? 1ms : 20s;
            CPPUNIT_ASSERT_EQUAL(row.whole, ReadDigests(log, timeout, fold));
            CPPUNIT_ASSERT_EQUAL(row.total, Total(fold));
          })});
--- a/src/control/tests/node_commands_test.cc
+++ b/src/control/tests/node_commands_test.cc
@@ -23,8 +23,8 @@
 const RequestId kRequest{.high = 0x12, .low = 7};
 const RequestId kOrphan{.high = 0x13, .low = 7};
 
-// A process's operations port with written answers; a path without one is
-// never answered, and one that drips gets a byte now and then for ever.
+// The operations port of a process with prepared answers. A path without an
+// answer is never answered, and a dripping path gets single bytes without end.
 struct Node {
   std::map<std::string, http::Response> pages;
   std::set<std::string> dripping;
@@ -53,7 +53,7 @@
     const Status started = this->server->Start();
     CPPUNIT_ASSERT(started.ok());
   }
-  // What lives on the server's thread goes before the server does.
+  // Objects on the server's thread are destroyed before the server.
   ~Node() { this->unanswered.clear(); }
 
   void Drip(http::Responder& responder) {
@@ -124,13 +124,13 @@
 
 const std::string kExplainPath = "/requests/" + ToString(kRequest);
 
-// An entry and the agent of d-1, which holds something for a request that the
+// An entry and the agent of d-1, which holds an attempt of a request that the
 // entry does not know.
 struct Bench {
   Node entry;
   Node agent;
   std::string printed;
-  std::string complained;
+  std::string errors;
   CommandOptions options;
 
   Bench() {
@@ -142,9 +142,7 @@
                          {kExplainPath, AgentPage({kRequest})}};
     this->options.nodes = {this->entry.Address(), this->agent.Address()};
     this->options.print = [this](const auto& text) { this->printed += text; };
-    this->options.complain = [this](const auto& text) {
-      this->complained += text;
-    };
+    this->options.complain = [this](const auto& text) { this->errors += text; };
   }
 
   int Run(const std::vector<std::string>& words) {
@@ -153,8 +151,8 @@
   bool Printed(const std::string& text) const {
     return this->printed.find(text) != std::string::npos;
   }
-  bool Complained(const std::string& text) const {
-    return this->complained.find(text) != std::string::npos;
+  bool ErrorsContain(const std::string& text) const {
+    return this->errors.find(text) != std::string::npos;
   }
 };
 
@@ -164,10 +162,10 @@
 
 const testing::Story kRequests(
     "acacialugctl",
-    {It("lists requests with what they hold, also those no entry knows",
+    {It("lists requests with what they hold, also those unknown to all entries",
         [] {
           Bench bench;
-          CPPUNIT_ASSERT_EQUAL_MESSAGE(bench.complained, 0,
+          CPPUNIT_ASSERT_EQUAL_MESSAGE(bench.errors, 0,
                                        bench.Run({"requests"}));
           for (const char* text :
                {"REQUEST", "reserve_sent d-1", "d-1 reservation", "2.000 s"}) {
@@ -192,7 +190,7 @@
         [] {
           Bench bench;
           CPPUNIT_ASSERT_EQUAL_MESSAGE(
-              bench.complained, 0, bench.Run({"explain", ToString(kRequest)}));
+              bench.errors, 0, bench.Run({"explain", ToString(kRequest)}));
           for (const char* text :
                {"alive for 2.000 s", "attempts 2, reservations asked for 1",
                 "refusals 1", "reserve: 2006 no_decode_memory",
@@ -220,11 +218,11 @@
 
 const testing::Story kDrain(
     "acacialugctl drain",
-    {It("asks just the named process to leave, by its name",
+    {It("sends the drain request only to the named process, with its name",
         [] {
           Bench bench;
           bench.agent.pages["/drain"] = {.status = 202, .body = "{}"};
-          CPPUNIT_ASSERT_EQUAL_MESSAGE(bench.complained, 0,
+          CPPUNIT_ASSERT_EQUAL_MESSAGE(bench.errors, 0,
                                        bench.Run({"drain", "d-1"}));
           CPPUNIT_ASSERT(bench.agent.requests.back().method == "POST");
           CPPUNIT_ASSERT(json::parse(bench.agent.requests.back().body) ==
@@ -232,22 +230,22 @@
           CPPUNIT_ASSERT(bench.entry.requests.size() == 1);
           CPPUNIT_ASSERT(bench.Printed("d-1 drains"));
         }),
-     It("drains nobody when one of the names is unknown",
+     It("drains no process when one of the names is unknown",
         [] {
           Bench bench;
           CPPUNIT_ASSERT_EQUAL(Code(CommandExit::kNotFound),
                                bench.Run({"drain", "d-1", "d-2"}));
-          CPPUNIT_ASSERT(bench.Complained("1013 invalid_parameter: d-2"));
+          CPPUNIT_ASSERT(bench.ErrorsContain("1013 invalid_parameter: d-2"));
           CPPUNIT_ASSERT(bench.agent.requests.size() == 1);
         }),
-     It("says that it failed when the name may be that of a silent process",
+     It("fails when the name may be that of an unresponsive process",
         [] {
           Bench bench;
           bench.agent.server = nullptr;
           CPPUNIT_ASSERT_EQUAL(Code(CommandExit::kFailed),
                                bench.Run({"drain", "d-1"}));
         }),
-     It("tells by number and exit code that the settings do not allow it", [] {
+     It("shows by number and exit code that the settings do not allow it", [] {
        Bench bench;
        bench.agent.pages["/drain"] = {.status = 403,
                                       .body = "1015 not_allowed: x\n"};
@@ -257,13 +255,13 @@
          CPPUNIT_ASSERT_EQUAL(Code(CommandExit::kRefused),
                               bench.Run({"drain", name}));
        }
-       CPPUNIT_ASSERT(bench.Complained("1015 not_allowed"));
+       CPPUNIT_ASSERT(bench.ErrorsContain("1015 not_allowed"));
      })});
 
 struct FaultRow {
   std::string name;
   std::function<void(Bench&, const std::string& path)> bring;
-  std::string complaint;
+  std::string expected_error;
 };
 
 void Answer(Bench& bench, const std::string& path, http::Response response) {
@@ -280,21 +278,21 @@
        bench.options.timeout = 100ms;
      },
      "5007 node_unreachable: no answer in time"},
-    // Symptom: a pipeline's step hangs. Sequence: a process sends a byte now
-    // and then. Cause: only silence counts against its time.
-    {"never comes to the end of its answer",
+    // Guards against a pipeline step that hangs: a process sends single bytes,
+    // and the timeout restarts with each of them.
+    {"never finishes its answer",
      [](Bench& bench, const std::string& path) {
        bench.entry.pages.erase(path);
        bench.entry.dripping.insert(path);
        bench.options.timeout = 100ms;
      },
      "5007 node_unreachable: no answer in time"},
-    {"answers what is no JSON",
+    {"answers with invalid JSON",
      [](Bench& bench, const std::string& path) {
        Answer(bench, path, {.body = "<html>"});
      },
      "5008 node_bad_answer"},
-    {"answers JSON of another shape",
+    {"answers with JSON of another structure",
      [](Bench& bench, const std::string& path) {
        Answer(bench, path, {.body = R"({"entry": 1, "ready": "yes"})"});
      },
@@ -329,14 +327,15 @@
                const std::string& path,
                const std::string& still_shown) {
   return ForEach<FaultRow>(
-      command + " tells it by number, shows the rest, and exits 1 when one",
+      command +
+          " shows the error number and the rest, and exits 1 when a process",
       kFaults, [](const FaultRow& row) { return row.name; },
       [=](const FaultRow& row) {
         Bench bench;
         row.bring(bench, path);
         CPPUNIT_ASSERT_EQUAL(Code(CommandExit::kFailed), bench.Run({command}));
-        CPPUNIT_ASSERT_MESSAGE(bench.complained,
-                               bench.Complained(row.complaint));
+        CPPUNIT_ASSERT_MESSAGE(bench.errors,
+                               bench.ErrorsContain(row.expected_error));
         CPPUNIT_ASSERT_MESSAGE(bench.printed, bench.Printed(still_shown));
       });
 }
@@ -353,7 +352,7 @@
   std::function<void(Bench&)> bring;
   std::string argument;
   CommandExit exit;
-  std::string complaint;
+  std::string expected_error;
 };
 
 const http::Response kUnknownAtEntry{.status = 404,
@@ -367,16 +366,16 @@
         "exits by number and code when",
         {{"the id is malformed", [](Bench&) {}, "12", CommandExit::kUsage,
           "1013 invalid_parameter"},
-         {"all answer and none knows it",
+         {"all processes answer and none knows the request",
           [](Bench& bench) {
             bench.entry.pages[kExplainPath] = kUnknownAtEntry;
             bench.agent.pages[kExplainPath] = kUnknownAtAgent;
           },
           ToString(kRequest), CommandExit::kNotFound, "1014 unknown_request"},
-         // Symptom: an operator takes a request for lost that runs. Sequence:
-         // its entry does not answer; no other process knows it. Cause: "none
-         // that answered" is told as "none".
-         {"none that answered knows it, and one did not answer",
+         // Guards against an operator who takes a running request for lost: its
+         // entry does not answer, no other process knows the request, and the
+         // command reports it as unknown to all processes.
+         {"the processes that answer do not know it, and one did not answer",
           [](Bench& bench) {
             bench.entry.server = nullptr;
             bench.agent.pages[kExplainPath] = kUnknownAtAgent;
@@ -391,23 +390,22 @@
           row.bring(bench);
           CPPUNIT_ASSERT_EQUAL(Code(row.exit),
                                bench.Run({"explain", row.argument}));
-          CPPUNIT_ASSERT_MESSAGE(bench.complained,
-                                 bench.Complained(row.complaint));
+          CPPUNIT_ASSERT_MESSAGE(bench.errors,
+                                 bench.ErrorsContain(row.expected_error));
         })});
 
 const testing::Story kWait(
     "manifest wait",
-    {It("ends when all have it in force",
+    {It("ends when the manifest is active in all processes",
         [] {
           Bench bench;
           CPPUNIT_ASSERT_EQUAL(Code(CommandExit::kOk),
                                bench.Run({"manifest", "wait", "7"}));
         }),
-     // Symptom: a wait for one process that was behind took a core, and all
-     // others answered thousands of requests a second. Sequence: each look
-     // asked every process, and the next look came at once. Cause: no pause,
-     // and those that had the manifest were asked again.
-     It("asks again only who is behind, and names it when the time is over",
+     // Guards against a wait for one process that occupies a core and makes all
+     // other processes answer thousands of requests a second: without a pause
+     // between polls, and with queries to processes that have the manifest.
+     It("queries only processes that are behind, and names them at the timeout",
         [] {
           Bench bench;
           bench.agent.pages["/status"] = {.body =
@@ -417,12 +415,12 @@
                                bench.Run({"manifest", "wait", "7"}));
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, bench.entry.requests.size());
           CPPUNIT_ASSERT(bench.agent.requests.size() <= 6);
-          CPPUNIT_ASSERT(bench.Complained(bench.agent.Address()));
+          CPPUNIT_ASSERT(bench.ErrorsContain(bench.agent.Address()));
         })});
 
 const testing::Story kUsage(
     "the commands",
-    {It("refuse a line that none of them takes",
+    {It("refuse a command line that matches none of them",
         [] {
           Bench bench;
           for (const std::vector<std::string>& words :
@@ -448,10 +446,10 @@
          CPPUNIT_ASSERT_MESSAGE(row.words,
                                 script.find(last) != std::string::npos);
        }
-       constexpr std::size_t kMostColumns = 80 - 7;  // the page indents by 7
+       constexpr std::size_t kMaxColumns = 80 - 7;  // the page indents by 7
        std::istringstream lines(help);
        for (std::string line; std::getline(lines, line);) {
-         CPPUNIT_ASSERT_MESSAGE(line, line.size() <= kMostColumns);
+         CPPUNIT_ASSERT_MESSAGE(line, line.size() <= kMaxColumns);
        }
      })});
 
--- a/src/control/tests/publisher_test.cc
+++ b/src/control/tests/publisher_test.cc
@@ -27,7 +27,7 @@
 
 enum class AppendFault { kNone, kRefused, kLostBefore, kLostAfter };
 
-// A log in memory; each append meets the next fault of the list.
+// A log in memory; each append gets the next fault of the list.
 class ListLog : public cluster::ILog {
  public:
   std::vector<std::string> records;
@@ -114,9 +114,9 @@
            {AppendFault::kRefused},
            ResultCode::kPlatformUnavailable,
            "a"},
-          // Symptom: a pipeline published twice, or believed a failure.
-          // Sequence: the append took effect, its answer was lost.
-          // Cause: the lost answer was taken for the outcome.
+          // Guards against a pipeline that publishes twice or reports a false
+          // failure: the append takes effect, its answer is lost, and the
+          // lost answer is taken for the outcome.
           {"the answer is lost after the effect",
            {AppendFault::kLostAfter},
            ResultCode::kOk,
@@ -140,7 +140,7 @@
              CPPUNIT_ASSERT_EQUAL(row.current, bench.CurrentVersion());
            }
          }),
-     It("sends only what differs when told to, and the first text whole",
+     It("sends only the differences as a delta, and the first text in full",
         [] {
           Bench bench{.as_delta = true};
           std::string kind;
@@ -155,7 +155,7 @@
           CPPUNIT_ASSERT_EQUAL(std::string("publish publish_delta "), kind);
           CPPUNIT_ASSERT_EQUAL(std::string("b"), bench.CurrentVersion());
         }),
-     It("appends nothing when it is wrong, or names another than the current",
+     It("appends nothing when the text is invalid or replaces another manifest",
         [] {
           Bench bench;
           CPPUNIT_ASSERT(ResultCode::kSettingsMissingKey ==
@@ -164,10 +164,10 @@
                          bench.Publish(ManifestText("b", 7)));
           CPPUNIT_ASSERT_EQUAL(std::size_t{0}, bench.log.appends);
         }),
-     // Symptom: two pipelines both reported success; one change was lost.
-     // Sequence: both read the same current manifest, then both appended.
-     // Cause: success was told from the append, not from the log's order.
-     It("has one winner when two race, and tells the other what won", [] {
+     // Guards against two pipelines that both report success while one change
+     // is lost: both read the same current manifest, both append, and success
+     // is taken from the append instead of the order of the log.
+     It("has one winner when two race, and shows the other the winner", [] {
        Bench bench;
        CPPUNIT_ASSERT(ResultCode::kOk == bench.Publish(ManifestText("a", 0)));
        bench.log.before_append = [&bench] {
