--- a/src/app/ctl/main.cc
+++ b/src/app/ctl/main.cc
@@ -62,7 +62,7 @@
        .flags = Flags(),
        .print =
            [](const std::string& text) { std::cout << text << std::flush; },
-       .complain = [](const std::string& text) { std::cerr << text; }});
+       .print_error = [](const std::string& text) { std::cerr << text; }});
 }
 
 }  // namespace
--- a/src/control/commands.h
+++ b/src/control/commands.h
@@ -46,7 +46,7 @@
   std::vector<CommandFlag> flags;  // of the program, for `completion`
   // Write text; the program uses standard output and standard error.
   std::function<void(const std::string& text)> print;
-  std::function<void(const std::string& text)> complain;
+  std::function<void(const std::string& text)> print_error;
 };
 
 // The commands as --help shows them, one per line. Thread safe.
--- a/src/control/internal/burn_command.cc
+++ b/src/control/internal/burn_command.cc
@@ -16,8 +16,9 @@
     return {};
   }
   return [&context, all](std::size_t done) {
-    context.options.complain("\r" + std::to_string(done) + "/" +
-                             std::to_string(all) + (done == all ? "\n" : ""));
+    context.options.print_error("\r" + std::to_string(done) + "/" +
+                                std::to_string(all) +
+                                (done == all ? "\n" : ""));
   };
 }
 
--- a/src/control/internal/command_context.cc
+++ b/src/control/internal/command_context.cc
@@ -113,13 +113,14 @@
 }
 
 int CommandContext::PrintError(const Error& error) const {
-  this->options.complain(ErrorLine(error) + "\n");
+  this->options.print_error(ErrorLine(error) + "\n");
   return static_cast<int>(ExitOf(error.result_code()));
 }
 
 int CommandContext::PrintError(const http::Address& node,
                                const Error& error) const {
-  this->options.complain(http::ToString(node) + ": " + ErrorLine(error) + "\n");
+  this->options.print_error(http::ToString(node) + ": " + ErrorLine(error) +
+                            "\n");
   return static_cast<int>(ExitOf(error.result_code()));
 }
 
@@ -138,7 +139,7 @@
 
 int CommandContext::PrintError(CommandExit exit,
                                const std::string& text) const {
-  this->options.complain(text + "\n");
+  this->options.print_error(text + "\n");
   return static_cast<int>(exit);
 }
 
--- a/src/control/internal/manifest_commands.cc
+++ b/src/control/internal/manifest_commands.cc
@@ -25,7 +25,7 @@
   const std::vector<settings::Problem> problems =
       manifest::CheckManifest(*text, path);
   for (const settings::Problem& problem : problems) {
-    context.options.complain(settings::ToString(problem) + "\n");
+    context.options.print_error(settings::ToString(problem) + "\n");
   }
   if (!problems.empty()) {
     return static_cast<int>(CommandExit::kInvalid);
--- a/src/control/tests/level_collector_test.cc
+++ b/src/control/tests/level_collector_test.cc
@@ -207,7 +207,7 @@
        .json = true,
        .timeout = 2s,
        .print = [&](const std::string& text) { run.printed += text; },
-       .complain = [&](const std::string& text) { run.errors += text; }});
+       .print_error = [&](const std::string& text) { run.errors += text; }});
   return run;
 }
 
--- a/src/control/tests/node_commands_test.cc
+++ b/src/control/tests/node_commands_test.cc
@@ -142,7 +142,9 @@
                          {kExplainPath, AgentPage({kRequest})}};
     this->options.nodes = {this->entry.Address(), this->agent.Address()};
     this->options.print = [this](const auto& text) { this->printed += text; };
-    this->options.complain = [this](const auto& text) { this->errors += text; };
+    this->options.print_error = [this](const auto& text) {
+      this->errors += text;
+    };
   }
 
   int Run(const std::vector<std::string>& words) {
