--- a/src/app/agent/main.cc
+++ b/src/app/agent/main.cc
@@ -34,7 +34,7 @@
 constexpr const char* kProgram = "acacialug-agent";
 constexpr std::chrono::seconds kFirstManifestWait{3};
 
-// The program around the process: where manifests come from, and signals.
+// Connects the process to its source of manifests and to signals.
 class Agent {
  public:
   explicit Agent(const AgentSettings& agent_settings)
@@ -52,9 +52,9 @@
         {.endpoint = this->settings.agent.endpoint,
          .fields = {{"operations_port", this->process.operations_port()}}});
     if (!this->settings.manifest_file.empty()) {
-      const Status taken = this->TakeManifestFile();
-      if (!taken.ok()) {
-        return Fail("manifest_failed", taken.error());
+      const Status applied = this->LoadManifestFile();
+      if (!applied.ok()) {
+        return Fail("manifest_failed", applied.error());
       }
     } else {
       this->FollowLog(/*follow_stream=*/false);
@@ -73,7 +73,7 @@
                 [this](const engine::EngineOptions& engine_options) {
                   return this->MakeEngine(engine_options);
                 },
-            .make_turns_log = this->TurnsLog(),
+            .make_turns_log = this->MaintenanceLogFactory(),
             .on_manifest_heard =
                 [this](LogOffset offset) {
                   if (this->configuration) {
@@ -108,34 +108,36 @@
                 *this->settings.platform_weights, *this->store_client)});
   }
 
-  // Without a log there is nothing that the agents of a pool share.
-  std::function<std::unique_ptr<cluster::ILog>()> TurnsLog() {
+  // The agents of a pool share state only through the log: without a log, there
+  // is no factory.
+  std::function<std::unique_ptr<cluster::ILog>()> MaintenanceLogFactory() {
     if (!this->settings.platform_log) {
       return {};
     }
     return [this] {
-      this->turns_client.emplace(http::ClientOptions{});
+      this->maintenance_log_client.emplace(http::ClientOptions{});
       return std::make_unique<cluster::HttpLog>(*this->settings.platform_log,
-                                                *this->turns_client);
+                                                *this->maintenance_log_client);
     };
   }
 
-  // Each reading counts as newer than the one before.
-  Status TakeManifestFile() {
+  // Each load gets the next offset, so that it counts as newer than the one
+  // before.
+  Status LoadManifestFile() {
     const auto read =
         agent_process::ReadManifestFile(this->settings.manifest_file);
     if (!read.ok()) {
       return read.error();
     }
     auto numbered = std::make_shared<manifest::Manifest>(**read);
-    numbered->offset = LogOffset(++this->file_readings);
-    this->GiveMemoryBack();
+    numbered->offset = LogOffset(++this->file_loads);
+    this->TrimHeap();
     return this->process.OnManifest(numbered);
   }
 
-  // Entries tell an agent of newer manifests, so that thousands of agents need
-  // not poll the log. Nobody speaks to an agent that no manifest names yet: it
-  // would wait for ever, and so it follows the stream by itself.
+  // Entries report newer manifests to an agent, so that thousands of agents
+  // need not poll the log. No entry connects to an agent that no manifest names
+  // yet; it would wait without end, so it follows the stream by itself.
   void WatchForFirstManifest() {
     QObject::connect(&this->first_manifest_timer, &QTimer::timeout, [this] {
       if (this->process.port() == 0) {
@@ -157,11 +159,11 @@
                 *this->settings.platform_log, *this->log_client),
             .on_in_force =
                 [this](const configuration::AcceptedManifest& accepted) {
-                  this->GiveMemoryBack();
-                  const Status taken =
+                  this->TrimHeap();
+                  const Status applied =
                       this->process.OnManifest(accepted.manifest);
-                  if (!taken.ok()) {
-                    Fail("manifest_not_taken", taken.error());
+                  if (!applied.ok()) {
+                    Fail("manifest_not_taken", applied.error());
                   }
                 },
             .peers = this->settings.peers},
@@ -169,9 +171,10 @@
     this->configuration->Start();
   }
 
-  // Reading a manifest of many endpoints takes many times what is kept of it;
-  // the allocator would hold on to that for the life of the process.
-  void GiveMemoryBack() {
+  // Parsing a manifest of many endpoints takes many times the memory of the
+  // parsed manifest. The allocator would keep that memory until the process
+  // ends.
+  void TrimHeap() {
     QTimer::singleShot(0, &this->context, [] { malloc_trim(0); });
   }
 
@@ -191,20 +194,20 @@
     if (this->settings.manifest_file.empty()) {
       return;
     }
-    const Status taken = this->TakeManifestFile();
-    if (!taken.ok()) {
-      Fail("manifest_reload_failed", taken.error());
+    const Status applied = this->LoadManifestFile();
+    if (!applied.ok()) {
+      Fail("manifest_reload_failed", applied.error());
     }
   }
 
   const AgentSettings& settings;
   RandomSource random;
-  std::uint64_t file_readings = 0;
-  QObject context;  // ends what was posted with this
+  std::uint64_t file_loads = 0;
+  QObject context;  // cancels posted calls on destruction
   QTimer first_manifest_timer;
   std::optional<http::Client> store_client;
   std::optional<http::Client> log_client;
-  std::optional<http::Client> turns_client;
+  std::optional<http::Client> maintenance_log_client;
   std::optional<ConfigurationClient> configuration;
   AgentProcess process;
 };
--- a/src/app/entry/main.cc
+++ b/src/app/entry/main.cc
@@ -32,16 +32,17 @@
 constexpr const char* kProgram = "acacialug-entry";
 constexpr std::chrono::seconds kHostListInterval{1};
 
-// The program around the process: where manifests come from, and signals.
+// Connects the process to its source of manifests and to signals.
 class Entry {
  public:
   explicit Entry(const EntrySettings& entry_settings)
       : settings(entry_settings),
         random(RandomSource::FromSystem()),
-        manifests(this->SourceOptions(), this->random),
-        process(this->ProcessOptions(), this->registry, [](bool whole) {
-          QCoreApplication::exit(static_cast<int>(
-              whole ? program::ExitCode::kOk : program::ExitCode::kFailed));
+        manifests(this->ManifestSourceOptions(), this->random),
+        process(this->ProcessOptions(), this->registry, [](bool all_answered) {
+          QCoreApplication::exit(
+              static_cast<int>(all_answered ? program::ExitCode::kOk
+                                            : program::ExitCode::kFailed));
         }) {}
 
   int Run() {
@@ -65,7 +66,7 @@
   }
 
  private:
-  entry_process::ManifestSource::Options SourceOptions() {
+  entry_process::ManifestSource::Options ManifestSourceOptions() {
     entry_process::ManifestSource::Options options{
         .file = this->settings.manifest_file,
         .author = this->settings.process.core.id.text,
@@ -98,8 +99,8 @@
     return options;
   }
 
-  // The platform's list lags; an agent that leaves says so itself, and this
-  // covers the ones that cannot.
+  // An agent that leaves reports it by itself. The platform's list lags behind,
+  // but it covers the agents that cannot report.
   void FollowHosts() {
     if (!this->settings.platform_hosts) {
       return;
@@ -114,7 +115,7 @@
     this->host_list->Read(
         [this](const Result<std::vector<cluster::HostRecord>>& hosts) {
           if (!hosts.ok()) {
-            return;  // what was last known stays
+            return;  // keeps the last known hosts
           }
           std::set<HostId> leaving;
           for (const cluster::HostRecord& record : *hosts) {
@@ -134,8 +135,8 @@
     }
   }
 
-  // Certificates and, where it comes from a file, the manifest. What cannot
-  // be loaded stays as it was.
+  // Reloads the certificates and, if it comes from a file, the manifest. An
+  // item that cannot be loaded stays as it was.
   void Reload() {
     const Status tls = this->process.ReloadTls();
     if (!tls.ok()) {
--- a/src/app/load/main.cc
+++ b/src/app/load/main.cc
@@ -16,7 +16,8 @@
 namespace acacialug {
 namespace {
 
-constexpr int kViolationsFound = 4;  // an exit code beside the shared ones
+// An exit code in addition to the shared ones.
+constexpr int kViolationsFound = 4;
 
 bool WriteReport(const std::string& file, const std::string& text) {
   if (file.empty()) {
--- a/src/app/standin/main.cc
+++ b/src/app/standin/main.cc
@@ -11,7 +11,7 @@
 namespace acacialug::standin {
 namespace {
 
-// Every stand-in of the process.
+// All stand-ins of the process.
 struct Servers {
   std::vector<std::unique_ptr<EngineServer>> engines;
   std::vector<std::unique_ptr<ServiceServer>> services;
@@ -20,7 +20,7 @@
   std::unique_ptr<WeightStoreServer> weights;
 };
 
-// Scripts wait for its line "listening".
+// Scripts wait for the log entry "listening".
 template <typename Server>
 bool StartOne(Server& server, const std::string& kind, const std::string& id) {
   const Status started = server.Start();
