--- a/src/protocol/internal/bounded_input_archive.h
+++ b/src/protocol/internal/bounded_input_archive.h
@@ -19,20 +19,20 @@
 
 namespace acacialug::protocol {
 
-// A vector of anything but plain numbers has at most so many elements: their
-// objects take more memory than their bytes in the payload.
+// Maximum elements of a vector of anything but plain numbers: the objects
+// take more memory than their bytes in the payload.
 inline constexpr std::uint64_t kMaxObjects = 4096;
 
 // Durations are cut to this on both sides, so that an instant plus a received
 // duration cannot overflow.
 inline constexpr Duration kLongestDuration = 24h * 3650;
 
-// Reads what cereal's PortableBinaryOutputArchive wrote, from bytes that
-// nobody vouches for. cereal's own input archive sizes strings and vectors by
+// Reads what cereal's PortableBinaryOutputArchive wrote, from untrusted
+// bytes. cereal's own input archive sizes strings and vectors by
 // the length found in the payload before it has seen their bytes, so that a
-// frame of 20 bytes can ask for any amount of memory, and it takes any number
-// for an enumerator. Here a length must fit into what is left of the payload,
-// an enumerator must stand in its table, a bool is 0 or 1 and a double is
+// frame of 20 bytes can request any amount of memory, and it accepts any
+// number for an enumerator. Here a length must fit into what is left of the
+// payload, an enumerator must be in its table, a bool is 0 or 1 and a double is
 // finite; anything else throws cereal::Exception, as does a payload that is
 // too short.
 //
@@ -44,7 +44,7 @@
       cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>;
 
  public:
-  // Reads the byte that tells the writer's byte order.
+  // Reads the byte that holds the writer's byte order.
   explicit BoundedInputArchive(std::string_view payload)
       : Base(this), rest(payload) {
     std::uint8_t little_endian = 0;
@@ -56,8 +56,8 @@
 
   std::size_t remaining() const { return this->rest.size(); }
 
-  // Stands before the base's operator, so that every field of every message
-  // is checked here, also those that are added later.
+  // Hides the base's operator, so that every field of every message is
+  // checked here, including fields that are added later.
   template <typename... Fields>
   BoundedInputArchive& operator()(Fields&&... fields) {
     (this->Load(std::forward<Fields>(fields)), ...);
@@ -139,8 +139,8 @@
   bool swap_bytes = false;
 };
 
-// The functions below are cereal's way to teach an archive its basic types;
-// their names are cereal's.
+// cereal requires the functions below, under these names, for an archive's
+// basic types.
 
 template <typename Number>
 requires std::is_arithmetic_v<Number>
--- a/src/protocol/internal/enum_tables.h
+++ b/src/protocol/internal/enum_tables.h
@@ -14,8 +14,8 @@
                      [value](const auto& row) { return row.first == value; });
 }
 
-// True for the enumerators of the table beside the enum; a number received
-// from outside may be none of them. An enum of a message that lacks an
+// True for the enumerators in the table beside the enum; a number received
+// from outside may be in no table. An enum of a message that lacks an
 // overload here does not compile.
 inline bool IsListed(GenerationApi value) {
   return Lists(kGenerationApiNames, value);
--- a/src/protocol/message_codec.cc
+++ b/src/protocol/message_codec.cc
@@ -15,7 +15,7 @@
 namespace acacialug::protocol {
 namespace {
 
-// Appends to a string, which spares the copy out of a std::ostringstream.
+// Appends to a string, which avoids the copy out of a std::ostringstream.
 class StringBuffer : public std::streambuf {
  public:
   std::string TakeText() { return std::move(this->text); }
--- a/src/protocol/message_codec.h
+++ b/src/protocol/message_codec.h
@@ -12,7 +12,7 @@
 namespace acacialug::protocol {
 
 // Payloads of frames: cereal portable binary archives of the variants. All
-// four are thread safe. Decoding takes any bytes: a length inside the payload
+// four are thread safe. Decoding accepts any bytes: a length inside the payload
 // that exceeds the payload, an unknown alternative, an enumerator outside its
 // table, or bytes left over give kBadFrame and take no memory beyond the
 // payload's own size.
@@ -30,7 +30,7 @@
 std::string Encode(const PeerHeartbeat& heartbeat);
 Result<Heartbeat> DecodeHeartbeat(std::string_view datagram);
 Result<HeartbeatAnswer> DecodeHeartbeatAnswer(std::string_view datagram);
-// kBadFrame also for more of anything than one heartbeat may have.
+// kBadFrame also for a list that exceeds its bound for one heartbeat.
 Result<PeerHeartbeat> DecodePeerHeartbeat(std::string_view datagram);
 
 }  // namespace acacialug::protocol
--- a/src/protocol/tests/message_codec_test.cc
+++ b/src/protocol/tests/message_codec_test.cc
@@ -92,7 +92,7 @@
   (void)DecodeAgentToEntry(payload);
 }
 
-// Every alternative reads back alike, and cut short at any byte not at all.
+// Every alternative decodes unchanged, and fails when cut at any byte.
 template <typename Message>
 void CheckEach(const std::vector<Message>& messages,
                Result<Message> (*decode)(std::string_view)) {
@@ -171,11 +171,11 @@
 
 const testing::Story kCodec(
     "the codec of messages",
-    {It("reads back every message of an entry, but none cut short",
+    {It("decodes every message of an entry, but no truncated one",
         [] { CheckEach(EntryMessages(), DecodeEntryToAgent); }),
-     It("reads back every message of an agent, but none cut short",
+     It("decodes every message of an agent, but no truncated one",
         [] { CheckEach(AgentMessages(), DecodeAgentToEntry); }),
-     It("keeps fields, not only bytes",
+     It("preserves the fields",
         [] {
           const auto decoded = DecodeEntryToAgent(Encode(EntryMessages()[6]));
           const StartCall& call = std::get<StartCall>(*decoded);
@@ -194,7 +194,7 @@
           const auto decoded = DecodeAgentToEntry(payload);
           CPPUNIT_ASSERT(std::get<Leaving>(*decoded).grace == 1us);
         }),
-     It("cuts a duration that would overflow an instant",
+     It("clamps a duration that would overflow an instant",
         [] {
           const auto decoded = DecodeAgentToEntry(
               Encode(AgentToEntry(Leaving{.grace = Duration::max()})));
@@ -210,7 +210,7 @@
                     CPPUNIT_ASSERT(!DecodeEntryToAgent(row.payload));
                     CPPUNIT_ASSERT(!DecodeAgentToEntry(row.payload));
                   }),
-              It("survives random bytes and random changes", [] {
+              It("withstands random bytes and random changes", [] {
                 std::mt19937 random(20261202);
                 const std::vector<EntryToAgent> messages = EntryMessages();
                 for (int round = 0; round < 20000; ++round) {
@@ -294,13 +294,13 @@
 
 const testing::Story kDatagrams(
     "the codec of heartbeats",
-    {It("reads back heartbeats and answers, but none cut short",
+    {It("decodes heartbeats and answers, but no truncated one",
         [] {
           CheckDatagram(kHeartbeat, DecodeHeartbeat);
           CheckDatagram(kPlainAnswer, DecodeHeartbeatAnswer);
           CheckDatagram(WithLoad(), DecodeHeartbeatAnswer);
         }),
-     It("keeps fields, and leaves out a load that is not told",
+     It("preserves the fields, and omits a load that is not reported",
         [] {
           const auto heartbeat = DecodeHeartbeat(Encode(kHeartbeat));
           CPPUNIT_ASSERT(heartbeat->sessions == kHeartbeat.sessions);
@@ -319,7 +319,7 @@
            CPPUNIT_ASSERT(!decoded.ok());
            CPPUNIT_ASSERT(decoded.error().result_code() == row.code);
          }),
-     It("survives random changes", [] {
+     It("withstands random changes", [] {
        std::mt19937 random(20261202);
        for (int round = 0; round < 20000; ++round) {
          std::string datagram = Encode(kHeartbeat);
--- a/src/protocol/tests/peer_heartbeat_test.cc
+++ b/src/protocol/tests/peer_heartbeat_test.cc
@@ -64,7 +64,7 @@
 
 const acacialug::testing::Story kStory(
     "a peer's heartbeat",
-    {It("comes back as it was, and fits a datagram when it is full",
+    {It("decodes unchanged, and fits a datagram when it is full",
         [] {
           const std::string datagram = Encode(Full());
           CPPUNIT_ASSERT(datagram.size() <= kMaxDatagramBytes);
@@ -80,7 +80,7 @@
           heartbeat.rows.push_back({});
           CPPUNIT_ASSERT(!DecodePeerHeartbeat(Encode(heartbeat)).ok());
         }),
-     It("comes back with what was taken of quotas, and fits a datagram with it",
+     It("decodes with its quota use, and fits a datagram with it",
         [] {
           PeerHeartbeat heartbeat = FullOfQuotas();
           const std::string datagram = Encode(heartbeat);
@@ -90,7 +90,7 @@
           CPPUNIT_ASSERT_EQUAL(datagram, Encode(*read));
           CPPUNIT_ASSERT_EQUAL(std::int64_t{-5}, read->quotas[0].taken);
         }),
-     It("with more quotas than it may have, or one that cannot be, is refused",
+     It("with too many quotas, or an invalid one, is refused",
         [] {
           PeerHeartbeat heartbeat = FullOfQuotas();
           heartbeat.rows.clear();
@@ -100,7 +100,7 @@
               {.left = std::numeric_limits<float>::quiet_NaN()}};
           CPPUNIT_ASSERT(!DecodePeerHeartbeat(Encode(heartbeat)).ok());
         }),
-     It("with more forecasts or figures than it may have is refused",
+     It("with too many forecasts or figures is refused",
         [] {
           PeerHeartbeat heartbeat = Full();
           heartbeat.rows.clear();
@@ -110,7 +110,7 @@
           heartbeat.forecasts.push_back({});
           CPPUNIT_ASSERT(!DecodePeerHeartbeat(Encode(heartbeat)).ok());
         }),
-     It("comes back with all of its crashes, and fits a datagram with them",
+     It("decodes with all of its crashes, and fits a datagram with them",
         [] {
           const std::string datagram = Encode(FullOfCrashes());
           CPPUNIT_ASSERT(datagram.size() <= kMaxDatagramBytes);
@@ -118,7 +118,7 @@
           CPPUNIT_ASSERT(read.ok());
           CPPUNIT_ASSERT_EQUAL(datagram, Encode(*read));
         }),
-     It("with more crashes, rows beside them, or endpoints is refused",
+     It("with too many crashes, rows beside them, or endpoints is refused",
         [] {
           PeerHeartbeat crashes = FullOfCrashes();
           crashes.rows.clear();
@@ -133,7 +133,7 @@
           endpoints.crashes[0].ends.push_back({});
           CPPUNIT_ASSERT(!DecodePeerHeartbeat(Encode(endpoints)).ok());
         }),
-     It("that is cut off anywhere is refused", [] {
+     It("that is truncated anywhere is refused", [] {
        const std::string datagram = Encode(Full());
        for (std::size_t size = 0; size < datagram.size(); ++size) {
          CPPUNIT_ASSERT(!DecodePeerHeartbeat(datagram.substr(0, size)).ok());
--- a/src/protocol/types/generation.h
+++ b/src/protocol/types/generation.h
@@ -10,22 +10,22 @@
 
 namespace acacialug::protocol {
 
-// Which of the OpenAI-compatible routes a generation came by.
+// The OpenAI-compatible route on which a generation arrived.
 enum class GenerationApi : std::uint8_t { kCompletions, kChat };
 inline constexpr EnumNames<GenerationApi, 2> kGenerationApiNames = {{
     {GenerationApi::kCompletions, "completions"},
     {GenerationApi::kChat, "chat"},
 }};
 
-// What an engine is asked to generate.
+// What an engine has to generate.
 struct GenerationRequest {
   GenerationApi api = GenerationApi::kCompletions;
   ModelName model;
   std::string body;              // JSON object, as the caller sent it; checked
   std::uint32_t max_tokens = 0;  // output tokens still to produce
-  std::int32_t priority = 0;     // smaller runs earlier, as the engines have it
-  // Text already delivered to the caller by an earlier attempt; the engine
-  // goes on after it.
+  std::int32_t priority = 0;     // smaller runs earlier, as in the engines
+  // Text that an earlier attempt already delivered to the caller; the engine
+  // continues after it.
   std::string resumed_text;
 
   template <class Archive>
@@ -38,7 +38,7 @@
 // A prefill's exported KV cache, by reference.
 struct KvHandle {
   EndpointId prefill_endpoint;
-  std::string transfer_params;  // JSON `kv_transfer_params`, opaque to us
+  std::string transfer_params;  // JSON `kv_transfer_params`, opaque here
   std::uint64_t tokens = 0;
   std::uint64_t bytes = 0;
 
@@ -66,8 +66,8 @@
     {FinishReason::kLength, "length"},
 }};
 
-// Hashes of a prompt's pieces, each over the piece and all before it, so that
-// an equal hash means an equal prefix. First piece first.
+// Hashes of a prompt's prefix blocks. Each covers its block and all blocks
+// before it, so that an equal hash means an equal prefix. First block first.
 using PrefixChain = std::vector<std::uint64_t>;
 
 struct HeaderField {
@@ -104,8 +104,8 @@
   }
 };
 
-// How far a piece of work got; never blurred. Only kNotRun, or an idempotent
-// request, may be tried again.
+// How far an attempt got; never an estimate. Only kNotRun, or an idempotent
+// request, may be retried.
 enum class Outcome : std::uint8_t { kNotRun, kCompleted, kUnknown };
 inline constexpr EnumNames<Outcome, 3> kOutcomeNames = {{
     {Outcome::kNotRun, "not_run"},
--- a/src/protocol/types/heartbeat.h
+++ b/src/protocol/types/heartbeat.h
@@ -8,30 +8,30 @@
 #include "protocol/types/messages.h"
 
 // The two datagrams between an entry's process and an agent. One heartbeat
-// renews the sessions of all shards of the process; docs/PROTOCOL.md tells the
-// same for people.
+// renews the sessions of all shards of the process. docs/PROTOCOL.md describes
+// both datagrams in prose.
 namespace acacialug::protocol {
 
-// The first byte of a datagram. Another version is dropped, and the sessions
-// are renewed by frames.
+// The first byte of a datagram. A datagram of another version is dropped, and
+// frames renew the sessions instead.
 inline constexpr std::uint8_t kHeartbeatVersion = 1;
-// Fits the smallest MTU of IPv6 (1,280 bytes) with its headers: no datagram
-// of ours is ever sent in fragments.
+// Fits the smallest MTU of IPv6 (1,280 bytes) with its headers, so that no
+// datagram of this protocol is ever fragmented.
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
-// Of an IPv4 packet (20) and a UDP datagram (8), assumed for the byte budget.
+// Headers of IPv4 (20) and UDP (8), as the byte budget assumes them.
 inline constexpr std::size_t kDatagramHeaderBytes = 28;
 // One bit each in HeartbeatAnswer::renewed.
 inline constexpr std::size_t kMaxHeartbeatSessions = 64;
 
-// Renews the listed sessions. The agent counts it for sessions that a Hello of
-// this very process start opened, and for no other.
+// Renews the listed sessions. The agent renews only sessions that a Hello of
+// the same incarnation of the process opened.
 struct Heartbeat {
   EntryId entry;                // the process, not one of its shards
   Incarnation incarnation;      // of the process
-  std::uint32_t sequence = 0;   // ascending through the process's life, from 1
+  std::uint32_t sequence = 0;   // ascending within the incarnation, from 1
   std::uint32_t load_seen = 0;  // newest answer with a load; 0: none
   LogOffset manifest;
-  Duration interval{};                  // that the entry's byte budget asks for
+  Duration interval{};                  // that the entry's byte budget requires
   std::vector<std::uint32_t> sessions;  // by the numbers of their Welcomes
 
   template <class Archive>
--- a/src/protocol/types/messages.h
+++ b/src/protocol/types/messages.h
@@ -11,8 +11,8 @@
 #include "protocol/types/generation.h"
 
 // The messages between an entry and an agent, in the order in which a request
-// meets them. Durations are sent, never instants: no two clocks are compared.
-// docs/PROTOCOL.md tells the same for people.
+// uses them. Durations are sent, never instants: no two clocks are compared.
+// docs/PROTOCOL.md describes the messages in prose.
 namespace acacialug::protocol {
 
 enum class EndpointRole : std::uint8_t { kPrefill, kDecode, kPlain };
@@ -22,7 +22,7 @@
     {EndpointRole::kPlain, "plain"},
 }};
 
-// The part of a request that a message speaks of.
+// The part of a request that a message concerns.
 enum class Phase : std::uint8_t { kReserve, kPrefill, kDecode, kCall };
 inline constexpr EnumNames<Phase, 4> kPhaseNames = {{
     {Phase::kReserve, "reserve"},
@@ -31,8 +31,8 @@
     {Phase::kCall, "call"},
 }};
 
-// What an endpoint tells of its load in answers and heartbeats. A hint: the
-// agent alone decides when the work arrives.
+// The load that an endpoint reports in answers and heartbeats. It is a hint:
+// the agent alone decides when the work arrives.
 struct EndpointLoad {
   std::uint64_t free_kv_tokens = 0;
   std::uint64_t total_kv_tokens = 0;
@@ -57,15 +57,15 @@
 // ---- entry to agent ----
 
 // Opens a session: everything that this entry's requests hold at the agent
-// belongs to it and ends with it.
+// belongs to the session and ends with it.
 struct Hello {
   EntryId entry;
   Incarnation incarnation;
   FailureDomain domain;
   LogOffset manifest;
   EntryId process;                  // whose heartbeats renew this session
-  Incarnation process_incarnation;  // and which start of it
-  Duration interval{};              // between renewals, as the entry wishes
+  Incarnation process_incarnation;  // of that process
+  Duration interval{};              // between renewals, as the entry intends
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -87,14 +87,14 @@
   }
 };
 
-// Asks a decode endpoint for memory and a transfer window, before any
+// Requests memory and a transfer window from a decode endpoint, before any
 // prefill.
 struct Reserve {
   AttemptId attempt;
   std::uint64_t kv_tokens = 0;       // prompt and longest answer
   std::uint64_t transfer_bytes = 0;  // expected size of the KV cache
   Duration prefill_ready_in{};       // expected; the transfer starts then
-  Duration start_within{};           // refuse what cannot start by then
+  Duration start_within{};           // else the agent refuses
   std::int32_t priority = 0;
 
   template <class Archive>
@@ -109,7 +109,7 @@
   GenerationRequest generation;
   PrefixChain prefix;
   std::uint64_t prompt_tokens = 0;  // estimate
-  Duration finish_within{};         // refuse what cannot be done by then
+  Duration finish_within{};         // else the agent refuses
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -182,8 +182,8 @@
   }
 };
 
-// Asks what became of a non-idempotent call. An agent that never saw the key
-// seals it: it will refuse it from then on, so `kNotRun` stays true.
+// Queries the outcome of a non-idempotent call. An agent that never received
+// the key refuses it from then on, so that `kNotRun` stays true.
 struct LookUp {
   AttemptId attempt;
   Once once;
@@ -194,8 +194,8 @@
   }
 };
 
-// Gives back whatever the attempt holds here: queue place, reservation,
-// prefill, exported KV, stream or call. Safe to repeat; unknown is no error.
+// Releases what the attempt holds at the agent: queue slot, reservation,
+// prefill, exported KV, stream or call. Idempotent; unknown is no error.
 struct Cancel {
   AttemptId attempt;
 
@@ -267,7 +267,7 @@
   AttemptId attempt;
   KvHandle kv;
   Usage usage;
-  Duration lifetime{};  // how much longer the engine keeps the export
+  Duration lifetime{};  // remaining time that the engine keeps the export
   EndpointLoad load;
 
   template <class Archive>
@@ -319,7 +319,7 @@
 struct CallAnswered {
   AttemptId attempt;
   ServiceAnswer answer;
-  bool replayed = false;  // a kept answer, not a new run
+  bool replayed = false;  // a stored answer, not a new run
   EndpointLoad load;
 
   template <class Archive>
@@ -328,7 +328,7 @@
   }
 };
 
-// The agent is leaving: no new work here; what runs goes on.
+// The agent is leaving: it takes no new work, and running work continues.
 struct Leaving {
   Duration grace{};
 
--- a/src/protocol/types/peer_heartbeat.h
+++ b/src/protocol/types/peer_heartbeat.h
@@ -9,8 +9,8 @@
 
 namespace acacialug::protocol {
 
-// A datagram from one gateway to another: what it has placed, and how far it
-// knows configuration and endpoints. One that is lost is made good by the next.
+// A datagram from one gateway to another: its placed load, and how far it has
+// read configuration and endpoints. The next datagram makes up for a lost one.
 struct PeerHeartbeat {
   struct Row {
     std::uint64_t endpoint_key = 0;  // hash of the endpoint's id
@@ -25,7 +25,7 @@
     }
   };
 
-  // An endpoint that takes no work for a while: it changes its role, or the
+  // An endpoint that takes no work temporarily: it changes its role, or the
   // sender could not reach it.
   struct Pause {
     std::uint64_t endpoint_key = 0;
@@ -38,8 +38,8 @@
     }
   };
 
-  // What the sender learned of a service's engines: figures in the order of
-  // forecast::Figure. In some heartbeats only, one service after the other.
+  // What the sender measured of a service's engines, in the order of
+  // forecast::Figure. Only some heartbeats carry it, for one service in turn.
   struct Forecast {
     struct Learned {
       float value = 0;
@@ -53,7 +53,7 @@
 
     std::uint64_t service_key = 0;  // hash of the service's name
     std::vector<Learned> figures;
-    // Of the requests that came to the sender: forecast::RequestSizes.
+    // forecast::RequestSizes of the requests that reached the sender.
     float prompt_tokens = 0;
     float output_tokens = 0;
     std::uint8_t requests = 0;
@@ -65,12 +65,12 @@
     }
   };
 
-  // A request under which endpoints ended; without ends: it was answered, and
-  // what was told of it before does not count.
+  // A request during which endpoints ended. Without ends, the request was
+  // answered, and earlier reports on it do not count.
   struct Crash {
     struct End {
       std::uint64_t endpoint_key = 0;  // hash of the endpoint's start
-      std::uint32_t attempt_key = 0;   // of the attempt that was there
+      std::uint32_t attempt_key = 0;   // of the attempt that ran there
 
       template <class Archive>
       void serialize(Archive& archive) {
@@ -88,7 +88,7 @@
     }
   };
 
-  // What the sender took of a customer's quota: the fields of quota::QuotaUse.
+  // The sender's use of a customer's quota: the fields of quota::QuotaUse.
   struct Quota {
     std::uint64_t customer_key = 0;  // hash of the customer's name
     std::uint32_t account = 0;
@@ -108,8 +108,8 @@
   Incarnation incarnation;
   std::uint64_t sequence = 0;     // rises within an incarnation
   std::uint16_t pages_port = 0;   // TCP, on the sender's address
-  LogOffset configuration;        // offset of the one in force, plus one
-  LogOffset endpoints;            // behind the last change that is known
+  LogOffset configuration;        // offset of the active one, plus one
+  LogOffset endpoints;            // just past the last known change
   std::uint32_t read_age_ms = 0;  // since the sender read the store itself
   std::vector<Row> rows;
   std::vector<Pause> pauses;
@@ -126,17 +126,17 @@
   }
 };
 
-// Rows and pauses in one datagram at most: they and the head stay under 1,200
-// bytes, the least that every path takes whole.
+// Maximum rows and pauses in one datagram: they and the head stay under 1,200
+// bytes, the minimum that every path carries without fragmentation.
 inline constexpr std::size_t kMaxPeerHeartbeatRows = 26;
 inline constexpr std::size_t kMaxPeerHeartbeatPauses = 16;
 inline constexpr std::size_t kMaxPeerHeartbeatForecasts = 1;
 inline constexpr std::size_t kMaxPeerHeartbeatFigures = 8;
 inline constexpr std::size_t kMaxPeerHeartbeatCrashes = 4;
 inline constexpr std::size_t kMaxCrashEnds = 3;
-// A crash takes the place of so many rows.
+// The number of rows whose bytes one crash takes.
 inline constexpr std::size_t kRowsPerCrash = 2;
-// Each takes the place of a row.
+// Each takes the bytes of one row.
 inline constexpr std::size_t kMaxPeerHeartbeatQuotas = 8;
 
 }  // namespace acacialug::protocol
