--- a/src/protocol/internal/bounded_input_archive.h
+++ b/src/protocol/internal/bounded_input_archive.h
@@ -25,7 +25,7 @@
 
 // Durations are cut to this on both sides, so that an instant plus a received
 // duration cannot overflow.
-inline constexpr Duration kLongestDuration = 24h * 3650;
+inline constexpr Duration kMaxDuration = 24h * 3650;
 
 // Reads what cereal's PortableBinaryOutputArchive wrote, from untrusted
 // bytes. cereal's own input archive sizes strings and vectors by
@@ -105,7 +105,7 @@
     } else if constexpr (std::is_same_v<Plain, Duration>) {
       Duration::rep count = 0;
       this->LoadNumber(count);
-      field = std::clamp(Duration(count), -kLongestDuration, kLongestDuration);
+      field = std::clamp(Duration(count), -kMaxDuration, kMaxDuration);
     } else {
       Base::operator()(std::forward<Field>(field));
     }
