--- a/src/manifest/internal/rule_checker.cc
+++ b/src/manifest/internal/rule_checker.cc
@@ -95,8 +95,8 @@
     }
   }
 
-  // A pool that cannot have what it must keep would never be brought up to
-  // date, and nobody would see why.
+  // A pool with fewer endpoints than its minimum would never be updated, and
+  // no operator would see the reason.
   void CheckPoolRules(const Service& service, const Table& table) const {
     const std::vector<Table> tables = table.Tables("pool");
     const bool is_plain = service.kind == ServiceKind::kPlain;
@@ -177,9 +177,9 @@
     return std::any_of(services.begin(), services.end(), has_class);
   }
 
-  // A model service that has one pool and not the other could admit requests
-  // and never finish one. A service without any endpoint is allowed: it is
-  // refused as kNoEndpoint until its endpoints are declared.
+  // A model service that has only one of the two pools could admit requests
+  // and never finish them. A service without any endpoint is allowed: its
+  // requests are refused as kNoEndpoint until its endpoints are declared.
   void CheckPools() const {
     const std::vector<Table> tables = this->root.Tables("service");
     for (std::size_t i = 0; i < this->manifest.services.size(); ++i) {
--- a/src/manifest/internal/rule_checker.h
+++ b/src/manifest/internal/rule_checker.h
@@ -7,7 +7,7 @@
 namespace acacialug::manifest::internal {
 
 // Reports to the text's own tables every rule between keys that the manifest
-// breaks: names that stand twice, names that nothing defines, roles that do
+// breaks: duplicate names, names that nothing defines, roles that do
 // not fit the kind of service, pools that a model service lacks.
 void CheckRules(const settings::Table& root, const Manifest& manifest);
 
--- a/src/manifest/internal/table_reader.h
+++ b/src/manifest/internal/table_reader.h
@@ -7,7 +7,7 @@
 namespace acacialug::manifest::internal {
 
 // Reads the form of every key of the text's root into `manifest`; problems
-// stay in the table's reader. Rules between keys are CheckRules'.
+// stay in the table's reader. CheckRules checks the rules between keys.
 void ReadManifest(const settings::Table& root, Manifest& manifest);
 
 }  // namespace acacialug::manifest::internal
--- a/src/manifest/manifest_parser.h
+++ b/src/manifest/manifest_parser.h
@@ -11,14 +11,14 @@
 
 namespace acacialug::manifest {
 
-// Everything that is wrong with a manifest, in the order of the text; empty
-// when it may be published. `source` names the text in each problem. Thread
+// All problems of a manifest, in the order of the text; empty when it may be
+// published. `source` names the text in each problem. Thread
 // safe.
 std::vector<settings::Problem> CheckManifest(std::string_view text,
                                              const std::string& source);
 
 // The manifest of a text (docs/MANIFEST.md is its schema). `offset` is left
-// zero: whoever read it from the log knows it. Errors: those of the settings
+// zero: the caller that read the log sets it. Errors: those of the settings
 // (6001 to 6006) for a key's form, and kManifestInvalid for a broken rule
 // between keys; the detail names source, line and key of every problem.
 // Thread safe.
--- a/src/manifest/tests/manifest_parser_test.cc
+++ b/src/manifest/tests/manifest_parser_test.cc
@@ -10,7 +10,7 @@
 using testing::ForEach;
 using testing::It;
 
-constexpr char kSound[] = R"(version = "v1"
+constexpr char kValid[] = R"(version = "v1"
 domains = ["hall-a", "hall-b"]
 [[distance]]
 from = "hall-a"
@@ -54,12 +54,12 @@
 class = "desk"
 )";
 
-// A sound manifest with one piece of text put in another's place.
+// The valid manifest with one piece of text replaced.
 std::string With(const std::string& before, const std::string& after) {
-  std::string text = kSound;
-  const std::size_t place = text.find(before);
-  CPPUNIT_ASSERT_MESSAGE(before, place != std::string::npos);
-  return text.replace(place, before.size(), after);
+  std::string text = kValid;
+  const std::size_t position = text.find(before);
+  CPPUNIT_ASSERT_MESSAGE(before, position != std::string::npos);
+  return text.replace(position, before.size(), after);
 }
 
 struct BadCase {
@@ -67,7 +67,7 @@
   std::string before;
   std::string after;
   ResultCode code;
-  std::string detail;  // must stand in the error: line and key
+  std::string detail;  // must appear in the error: line and key
 };
 
 const std::vector<BadCase> kBadCases = {
@@ -94,7 +94,7 @@
      "[[service.pool]]\n  role = \"decode\"\n  minimum_serving = 2\n"
      "  [[service.class]]",
      ResultCode::kManifestInvalid, "service[0].pool[0].minimum_serving"},
-    {"a pool of a role that its service has not", "[[service.class]]",
+    {"a pool of a role that its service lacks", "[[service.class]]",
      "[[service.pool]]\n  role = \"plain\"\n  [[service.class]]",
      ResultCode::kManifestInvalid, "service[0].pool[0].role"},
     {"a pool with two rules", "[[service.class]]",
@@ -129,7 +129,7 @@
         "that orders must leave serving keeps",
         {{"none of one without a rule", "", 1, 0},
          {"one of two without a rule", "", 2, 1},
-         {"half and more of five without a rule", "", 5, 3},
+         {"three of five without a rule", "", 5, 3},
          {"the count", "minimum_serving = 4", 5, 4},
          {"all, if the count says so", "minimum_serving = 5", 5, 5},
          {"the share, rounded up", "minimum_serving_share = 0.7", 5, 4},
@@ -156,9 +156,9 @@
 
 const testing::Story kParser(
     "a manifest",
-    {It("that is sound is read whole",
+    {It("that is valid is read completely",
         [] {
-          const Result<Manifest> read = ParseManifest(kSound, "m.toml");
+          const Result<Manifest> read = ParseManifest(kValid, "m.toml");
           CPPUNIT_ASSERT_MESSAGE(read.ok() ? "" : read.error().detail,
                                  read.ok());
           CPPUNIT_ASSERT_EQUAL(std::size_t{2}, read->endpoints.size());
--- a/src/manifest/types/manifest.cc
+++ b/src/manifest/types/manifest.cc
@@ -62,7 +62,7 @@
   if (rule == nullptr) {
     return members - std::max<std::size_t>(1, members / 2);
   }
-  // Rounded up, but for what the share's binary form adds to a whole number.
+  // Rounded up, except for the rounding error of the share's binary form.
   constexpr double kRounding = 1e-9;
   const auto by_share = static_cast<std::size_t>(std::ceil(
       rule->minimum_serving_share * static_cast<double>(members) - kRounding));
--- a/src/manifest/types/manifest.h
+++ b/src/manifest/types/manifest.h
@@ -31,8 +31,8 @@
   Duration patience = 30s;    // longest wait in a queue
 };
 
-// Which calls of a plain service may be repeated. The first rule whose method
-// and path prefix match decides; GET, HEAD, PUT, DELETE and OPTIONS are
+// The calls of a plain service that may be repeated. The first rule whose
+// method and path prefix match decides; GET, HEAD, PUT, DELETE and OPTIONS are
 // idempotent by default, POST and PATCH are not.
 struct IdempotencyRule {
   std::string method;  // empty: any
@@ -43,7 +43,7 @@
 struct CallerLimits {
   CallerName caller;
   double share = 1.0;              // weight among callers under overload
-  double requests_per_second = 0;  // over all entries; 0: no limit
+  double requests_per_second = 0;  // across all entries; 0: no limit
   double burst_seconds = 2.0;
   std::string latency_class;  // empty: the service's first
 };
@@ -53,7 +53,7 @@
   std::string version;
 };
 
-// How many endpoints of one of a service's pools orders leave in service.
+// The minimum of a service's pool that orders leave in service.
 struct PoolRule {
   protocol::EndpointRole role = protocol::EndpointRole::kPlain;
   std::uint32_t minimum_serving = 0;
@@ -73,7 +73,7 @@
   std::vector<LatencyClass> classes;  // never empty; the first is the default
   std::vector<IdempotencyRule> idempotency;
   std::vector<PoolRule> pools;      // each role at most once
-  std::uint32_t queue_limit = 256;  // a class, an entry
+  std::uint32_t queue_limit = 256;  // per class and entry
 };
 
 struct Endpoint {
@@ -82,7 +82,7 @@
   FailureDomain domain;
   ServiceName service;
   protocol::EndpointRole role = protocol::EndpointRole::kPlain;
-  http::Address agent;          // where entries reach its agent
+  http::Address agent;          // of its agent, for entries
   std::uint64_t kv_tokens = 0;  // decode: memory; 0 elsewhere
   std::uint32_t slots = 0;      // streams, prefills or calls at once
   std::uint64_t link_bytes_per_second = 0;  // decode: ingress of KV transfers
@@ -97,11 +97,11 @@
   Duration one_way{};
 };
 
-// One accepted configuration, whole and immutable. `offset` is where the log
-// holds it; a greater offset is newer.
+// One accepted configuration, complete and immutable. `offset` is its position
+// in the log; a greater offset is newer.
 struct Manifest {
   LogOffset offset;
-  LogOffset replaces;   // the offset of the one before it
+  LogOffset replaces;   // the offset of the previous manifest
   std::string version;  // the build pipeline's name for it
   std::vector<FailureDomain> domains;
   std::vector<DomainDistance> distances;
@@ -110,7 +110,7 @@
   std::vector<CallerLimits> callers;
   bool require_known_callers = false;
 
-  // Null when there is none of that name. Thread safe: constant.
+  // Null when no item has that name. Thread safe: the manifest is constant.
   const Service* FindService(const ServiceName& name) const;
   const Service* FindServiceOfModel(const ModelName& model) const;
   const Endpoint* FindEndpoint(const EndpointId& id) const;
@@ -118,9 +118,9 @@
   // The endpoints of a service's pool that are not leaving.
   std::vector<EndpointId> PoolMembers(const ServiceName& service,
                                       protocol::EndpointRole role) const;
-  // How many of a pool of `members` endpoints orders must leave in service.
-  // Without a rule: half of them, rounded up, but never all. Zero for a
-  // service that there is not.
+  // The minimum number of endpoints that orders must leave in service in a
+  // pool of `members`. Without a rule: half of them, rounded up, but never all.
+  // Zero for an unknown service.
   std::size_t MinimumServing(const ServiceName& service,
                              protocol::EndpointRole role,
                              std::size_t members) const;
