--- a/src/configuration_client/configuration_client.h
+++ b/src/configuration_client/configuration_client.h
@@ -19,12 +19,12 @@
 
 struct ClientOptions {
   configuration::FollowerOptions follower;
-  // The platform's log; made once, on the client's thread.
+  // The platform's log, created once on the client's thread.
   std::unique_ptr<cluster::ILog> log;
-  // A newer manifest is in force in this process; never one that is older.
+  // A newer manifest became active in this process; never an older one.
   std::function<void(const configuration::AcceptedManifest&)> on_in_force;
-  // Operations ports of entries, asked for the manifest that they have in
-  // force while the log does not answer. May be empty.
+  // Operations ports of entries, which are queried for their active manifest
+  // while the log does not answer. May be empty.
   std::vector<http::Address> peers;
 };
 
@@ -35,10 +35,10 @@
   ConfigurationClient(ClientOptions client_options, RandomSource& random);
   ~ConfigurationClient();
 
-  // Begins to read. Call once.
+  // Starts to read. Call once.
   void Start();
 
-  // A peer spoke of this offset.
+  // A peer reported this offset.
   void OnPeerOffset(LogOffset offset);
 
   // Whether no peer has a session with this process.
@@ -48,10 +48,10 @@
   // kManifestInvalid, kManifestStale.
   Status OnPeerManifest(LogOffset offset, const std::string& text);
 
-  // The process may serve under what is in force: it is the newest known.
+  // The process may serve: its active manifest is the newest known.
   bool ready() const;
 
-  // Null before the first.
+  // Null before the first manifest.
   const configuration::AcceptedManifest* in_force() const;
 
  private:
--- a/src/configuration_client/internal/configuration_client.cc
+++ b/src/configuration_client/internal/configuration_client.cc
@@ -16,9 +16,9 @@
 
 using configuration::FollowerAction;
 
-// Records of one answer; each may hold a whole manifest.
+// Maximum records of one answer; each may hold a whole manifest.
 constexpr std::size_t kRecordsPerRead = 16;
-constexpr Duration kPeerPatience = 2s;
+constexpr Duration kPeerResponseTimeout = 2s;
 
 }  // namespace
 
@@ -27,10 +27,10 @@
   Implementation(ClientOptions client_options, RandomSource& random)
       : options(std::move(client_options)),
         follower(this->options.follower, random),
-        // A kept connection would take one of the few that an entry has for
-        // operators and peers from those who still have to ask.
-        peer_client(
-            {.silence_timeout = kPeerPatience, .max_idle_connections = 0}),
+        // An idle connection would occupy one of the few that an entry has for
+        // operators and peers, and block processes that have yet to query it.
+        peer_client({.silence_timeout = kPeerResponseTimeout,
+                     .max_idle_connections = 0}),
         peers(this->options.peers, this->peer_client) {
     this->timer.setSingleShot(true);
     QObject::connect(&this->timer, &QTimer::timeout, [this] {
@@ -55,9 +55,9 @@
   }
 
   Status OnPeerManifest(LogOffset offset, const std::string& text) {
-    Status taken = this->follower.OnPeerManifest(offset, text);
+    Status accepted_status = this->follower.OnPeerManifest(offset, text);
     this->Pump();
-    return taken;
+    return accepted_status;
   }
 
   const configuration::ConfigurationFollower& state() const {
@@ -88,29 +88,31 @@
   }
 
   void Do(const configuration::AppendCheckpoint& append) {
-    // Lost or doubled does no harm: the next reader sees whether a newer copy
-    // is there, and a checkpoint changes nothing that is in force.
+    // A lost or duplicate record is harmless: the next reader sees whether a
+    // newer copy exists, and a checkpoint does not change the active manifest.
     this->options.log->Append(std::string(kConfigurationStream), append.payload,
                               [](const Result<LogOffset>&) {});
   }
 
-  // From the event loop: whoever hears of it may call this client again.
-  void Do(const configuration::ActivateManifest& put) {
+  // Calls the hook from the event loop: it may call this client again.
+  void Do(const configuration::ActivateManifest& activate) {
     log::Info("manifest_in_force",
-              {.fields = {{"offset", put.accepted.manifest->offset},
-                          {"version", put.accepted.manifest->version}}});
-    QTimer::singleShot(0, &this->context, [this, accepted = put.accepted] {
+              {.fields = {{"offset", activate.accepted.manifest->offset},
+                          {"version", activate.accepted.manifest->version}}});
+    QTimer::singleShot(0, &this->context, [this, accepted = activate.accepted] {
       this->options.on_in_force(accepted);
     });
   }
 
   void Do(const configuration::FetchFromPeer&) {
-    this->peers.Ask([this](const PeerManifest& newest) {
-      const Status taken = this->OnPeerManifest(newest.offset, newest.text);
+    this->peers.FetchNewest([this](const PeerManifest& newest) {
+      const Status accepted_status =
+          this->OnPeerManifest(newest.offset, newest.text);
       log::WriteLimited(
           this->limiter, MonotonicNow(), log::Level::kInfo,
           "peer_manifest_read",
-          {.code = taken.ok() ? ResultCode::kOk : taken.error().result_code(),
+          {.code = accepted_status.ok() ? ResultCode::kOk
+                                        : accepted_status.error().result_code(),
            .fields = {{"offset", newest.offset}}});
     });
   }
@@ -133,7 +135,7 @@
   PeerManifests peers;
   log::RepeatLimiter limiter{{.window = 60s, .lines_per_window = 2}};
   QTimer timer;
-  QObject context;  // ends what was posted with this
+  QObject context;  // cancels posted calls on destruction
 };
 
 ConfigurationClient::ConfigurationClient(ClientOptions client_options,
--- a/src/configuration_client/internal/peer_manifests.cc
+++ b/src/configuration_client/internal/peer_manifests.cc
@@ -39,9 +39,9 @@
                              http::Client& http_client)
     : peers(std::move(peer_addresses)), client(http_client) {}
 
-void PeerManifests::Ask(
+void PeerManifests::FetchNewest(
     std::function<void(const PeerManifest& newest)> on_newest) {
-  if (this->peers.empty() || std::exchange(this->asking, true)) {
+  if (this->peers.empty() || std::exchange(this->fetching, true)) {
     return;
   }
   auto round = std::make_shared<Round>();
@@ -51,7 +51,7 @@
     if (--round->open > 0) {
       return;
     }
-    this->asking = false;
+    this->fetching = false;
     if (!round->newest.text.empty()) {
       round->on_newest(round->newest);
     }
--- a/src/configuration_client/peer_manifests.h
+++ b/src/configuration_client/peer_manifests.h
@@ -12,38 +12,38 @@
 
 namespace acacialug::configuration_client {
 
-// A manifest as a peer has it in force.
+// A peer's active manifest.
 struct PeerManifest {
   LogOffset offset;
   std::string text;
 };
 
-// The page that an entry's operations port shows for its peers, and how it is
-// read: {"offset": n, "text": "..."}. Thread safe, both. Errors:
+// Write and parse the page that an entry's operations port serves to its
+// peers: {"offset": n, "text": "..."}. Both are thread safe. Errors:
 // kPlatformBadAnswer.
 inline constexpr std::string_view kPeerManifestPath = "/manifest";
 std::string RenderPeerManifest(const PeerManifest& manifest);
 Result<PeerManifest> ParsePeerManifest(std::string_view body);
 
-// Asks peers for what they have in force while the log is out. Lives on one
-// thread, that of `client`, which outlives this.
+// Fetches the peers' active manifests during an outage of the log. Lives on
+// one thread, that of `client`, which outlives this.
 class PeerManifests {
  public:
   PeerManifests(std::vector<http::Address> peer_addresses,
                 http::Client& http_client);
 
-  // Asks every peer at once and tells the newest answer when all have
-  // answered or failed: the first one alone might come from a peer that was
-  // itself cut off. No answer at all is not told. A call while one is under
-  // way does nothing.
-  void Ask(std::function<void(const PeerManifest& newest)> on_newest);
+  // Queries all peers at once and passes the newest answer to `on_newest` when
+  // all have answered or failed: the first answer might come from a peer that
+  // was itself cut off. Without any answer, `on_newest` is not called. A call
+  // during a running fetch does nothing.
+  void FetchNewest(std::function<void(const PeerManifest& newest)> on_newest);
 
  private:
   struct Round;
 
   std::vector<http::Address> peers;
   http::Client& client;
-  bool asking = false;
+  bool fetching = false;
 };
 
 }  // namespace acacialug::configuration_client
--- a/src/configuration_client/tests/configuration_client_test.cc
+++ b/src/configuration_client/tests/configuration_client_test.cc
@@ -19,7 +19,7 @@
 using testing::It;
 using testing::WaitUntil;
 
-// A log in memory that can be out. Answers come from the event loop.
+// A log in memory that can fail. Answers come from the event loop.
 struct MemoryLog : cluster::ILog {
   struct State {
     std::vector<std::string> records;
@@ -63,7 +63,7 @@
 struct Fixture {
   std::shared_ptr<MemoryLog::State> log = std::make_shared<MemoryLog::State>();
   RandomSource random{1};
-  std::vector<std::string> in_force;
+  std::vector<std::string> activated;
   std::unique_ptr<ConfigurationClient> client;
 
   explicit Fixture(bool follow, std::vector<http::Address> peers = {}) {
@@ -77,20 +77,20 @@
             .log = std::make_unique<MemoryLog>(this->log),
             .on_in_force =
                 [this](const configuration::AcceptedManifest& accepted) {
-                  this->in_force.push_back(accepted.manifest->version);
+                  this->activated.push_back(accepted.manifest->version);
                 },
             .peers = std::move(peers)},
         this->random);
     this->client->Start();
   }
   void Await(const std::vector<std::string>& versions) {
-    WaitUntil("a manifest", [&] { return this->in_force == versions; });
+    WaitUntil("a manifest", [&] { return this->activated == versions; });
   }
 };
 
 const testing::Story kClient(
     "a client of the configuration",
-    {It("puts each manifest of a long stream in force, in order",
+    {It("activates each manifest of a long stream, in order",
         [] {
           Fixture fixture(true);
           fixture.log->records = {Publish("v1", 0)};
@@ -102,7 +102,7 @@
           fixture.Await({"v1", "v2"});
           CPPUNIT_ASSERT(fixture.client->ready());
         }),
-     It("does not poll where others tell it, and reads when they do",
+     It("does not poll when peers report offsets, and reads on a report",
         [] {
           Fixture fixture(false);
           fixture.log->records = {Publish("v1", 0)};
@@ -112,12 +112,13 @@
           fixture.client->OnPeerOffset(LogOffset(1));
           CPPUNIT_ASSERT_EQUAL(reads, fixture.log->reads);
           fixture.client->OnPeerOffset(LogOffset(2));
-          // Who may serve goes on: an offset that never comes would stop it.
+          // A ready process stays ready: an offset that never arrives would
+          // stop it otherwise.
           CPPUNIT_ASSERT(fixture.client->ready());
           fixture.Await({"v1", "v2"});
           CPPUNIT_ASSERT(fixture.log->reads > reads);
         }),
-     It("is not ready at its start until it has what others tell of",
+     It("is not ready at its start until it has the offset of its peers",
         [] {
           Fixture fixture(false);
           fixture.log->records = {Publish("v1", 0)};
@@ -128,11 +129,11 @@
           fixture.Await({"v1", "v2"});
           CPPUNIT_ASSERT(fixture.client->ready());
         }),
-     It("is not ready in an outage of the log, and takes a peer's manifest",
+     It("is not ready in an outage of the log, and uses a peer's manifest",
         [] {
           // Symptom: a process replaced during an outage never serves.
-          // Sequence: the log is out, a peer speaks of an offset. Cause: only
-          // the log asked.
+          // Sequence: the log is out, a peer reports an offset. Cause: only the
+          // log is queried.
           int asked = 0;
           http::Server peer(
               {.listen = {.ip = "127.0.0.1"}, .make_handler = [&asked](int) {
@@ -157,10 +158,10 @@
                    ->OnPeerManifest(LogOffset(4), ManifestText("v4", 3))
                    .ok());
         }),
-     // Symptom: in an outage of the log of 3 s, agents had a change after 7 s.
-     // Sequence: more agents than the entries' operations ports have
-     // connections asked for it. Cause: the first ones kept theirs, idle.
-     It("leaves the peer's connections to others", [] {
+     // Symptom: in a log outage of 3 s, agents received a change after 7 s.
+     // Sequence: more agents requested it than the entries' operations ports
+     // have connections. Cause: the first agents kept idle connections open.
+     It("keeps no idle connection to a peer", [] {
        http::Server peer({.listen = {.ip = "127.0.0.1"},
                           .limits = {.max_connections = 1},
                           .make_handler = [](int) {
--- a/src/configuration_client/tests/peer_manifests_test.cc
+++ b/src/configuration_client/tests/peer_manifests_test.cc
@@ -17,7 +17,7 @@
 
 constexpr int kGuardMilliseconds = 20'000;
 
-// A peer that answers its page with one body.
+// A peer that serves `body` as its page.
 std::unique_ptr<http::Server> ServePage(const std::string& body) {
   auto server = std::make_unique<http::Server>(http::ServerOptions{
       .listen = {.ip = "127.0.0.1"}, .make_handler = [body](int) {
@@ -32,7 +32,7 @@
 
 const testing::Story kPeers(
     "a peer's manifest",
-    {It("reads back from its page",
+    {It("is parsed from its rendered page",
         [] {
           const Result<PeerManifest> read = ParsePeerManifest(
               RenderPeerManifest({.offset = LogOffset(7), .text = "a\n\"b\""}));
@@ -41,17 +41,17 @@
           CPPUNIT_ASSERT_EQUAL(std::string("a\n\"b\""), read->text);
         }),
      ForEach<std::string>(
-         "is not read from",
+         "is not parsed from",
          {"", "[]", "{\"offset\": 1}", "{\"offset\": -1, \"text\": \"x\"}",
           "{\"offset\": 1, \"text\": 2}"},
          [](const std::string& body) { return "'" + body + "'"; },
          [](const std::string& body) {
            CPPUNIT_ASSERT(!ParsePeerManifest(body).ok());
          }),
-     // Symptom: a host that started in a log outage took an old manifest.
+     // Symptom: a host that started in a log outage used an old manifest.
      // Sequence: the peer that answered first had itself been cut off.
-     // Cause: the first answer was taken for the newest.
-     It("is the newest of all that answer, whatever the others say", [] {
+     // Cause: the first answer was treated as the newest.
+     It("is the newest of all valid answers", [] {
        const auto old_peer =
            ServePage(RenderPeerManifest({.offset = LogOffset(3), .text = "a"}));
        const auto new_peer =
@@ -62,15 +62,15 @@
                             {"127.0.0.1", new_peer->port()},
                             {"127.0.0.1", broken_peer->port()}},
                            client);
-       std::vector<std::uint64_t> told;
+       std::vector<std::uint64_t> received;
        QEventLoop loop;
        QTimer::singleShot(kGuardMilliseconds, &loop, &QEventLoop::quit);
-       peers.Ask([&](const PeerManifest& newest) {
-         told.push_back(newest.offset.value);
+       peers.FetchNewest([&](const PeerManifest& newest) {
+         received.push_back(newest.offset.value);
          loop.quit();
        });
        loop.exec();
-       CPPUNIT_ASSERT((std::vector<std::uint64_t>{9}) == told);
+       CPPUNIT_ASSERT((std::vector<std::uint64_t>{9}) == received);
      })});
 
 }  // namespace
