--- a/src/trace/bench/trace_bench.cc
+++ b/src/trace/bench/trace_bench.cc
@@ -9,7 +9,7 @@
 namespace acacialug::trace {
 namespace {
 
-constexpr std::size_t kBound = std::size_t{2} * 1024 * 1024;  // of one shard
+constexpr std::size_t kBound = std::size_t{2} * 1024 * 1024;  // per shard
 
 const EndpointId kDecode("hall-a-decode-07");
 const EndpointId kPrefill("hall-b-prefill-03");
@@ -24,7 +24,7 @@
           .latency_class = "interactive"};
 }
 
-// The steps of a generation that meets no refusal.
+// The steps of a generation without a refusal.
 void Run(RequestTraces& traces, std::uint64_t number) {
   const Instant now = Instant(1s);
   const AttemptNumber one(1);
@@ -50,7 +50,7 @@
   traces.End(Id(number), TraceOutcome::kCompleted, ResultCode::kOk, now);
 }
 
-// One whole generation, at the bound: each drops an older one.
+// One whole generation at the bound: each drops an older trace.
 void Generation(benchmark::State& state) {
   RequestTraces traces({.max_bytes = kBound});
   std::uint64_t number = 0;
@@ -64,7 +64,7 @@
 }
 BENCHMARK(Generation);
 
-// One step under a lock that nobody else wants, as a shard takes it.
+// One step under an uncontended lock, as a shard takes it.
 void LockedStep(benchmark::State& state) {
   const EndpointId endpoint("hall-a-decode-07");
   RequestTraces traces({.max_bytes = kBound, .max_steps = 12});
@@ -99,7 +99,7 @@
 }
 BENCHMARK(ChunkIsNoStep);
 
-// What the bound really takes from the allocator, beside what is counted.
+// The bytes really allocated at the bound, beside the counted ones.
 void BytesTaken(benchmark::State& state) {
   std::size_t taken = 0;
   std::size_t counted = 0;
--- a/src/trace/internal/request_traces.cc
+++ b/src/trace/internal/request_traces.cc
@@ -7,17 +7,17 @@
 namespace acacialug::trace {
 namespace {
 
-// Steps of a generation that meets no refusal; more are made room for once.
+// Steps of a generation without a refusal; capacity grows beyond them.
 constexpr std::size_t kUsualSteps = 12;
 constexpr std::size_t kUsualEndpoints = 2;
-constexpr std::size_t kMostEndpoints = 255;  // of one request, by their index
-// A list's and a hash table's node beside what they hold, by the allocator's
-// own measure (trace_bench prints what is really taken).
+constexpr std::size_t kMaxEndpoints = 255;  // per request; the index has 8 bits
+// Overhead of a list node and a hash table node beyond their contents, as the
+// allocator counts it (trace_bench prints the bytes that are really used).
 constexpr std::size_t kNodeBytes = 112;
 
 std::size_t HeapBytes(const std::string& text) {
-  static const std::size_t kInPlace = std::string().capacity();
-  return text.capacity() > kInPlace ? text.capacity() + 1 : 0;
+  static const std::size_t kInlineCapacity = std::string().capacity();
+  return text.capacity() > kInlineCapacity ? text.capacity() + 1 : 0;
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
   if (this->index.contains(subject.request)) {
     return;
   }
-  if (!this->MakeRoom(bytes)) {
+  if (!this->EnsureFreeBytes(bytes)) {
     ++this->counted.not_traced;
     return;
   }
@@ -66,9 +66,9 @@
 }
 
 bool RequestTraces::AddPacked(Record& record, const Step& step, Instant now) {
-  const std::optional<std::uint8_t> place =
-      this->PlaceOf(record, step.endpoint);
-  if (!place || !this->Grow(record, record.steps)) {
+  const std::optional<std::uint8_t> endpoint_index =
+      this->EndpointIndex(record, step.endpoint);
+  if (!endpoint_index || !this->Grow(record, record.steps)) {
     return false;
   }
   record.steps.push_back(
@@ -79,21 +79,22 @@
        .kind = step.kind,
        .phase = static_cast<std::uint8_t>(
            step.phase ? static_cast<int>(*step.phase) + 1 : 0),
-       .endpoint = *place});
+       .endpoint = *endpoint_index});
   return true;
 }
 
-std::optional<std::uint8_t> RequestTraces::PlaceOf(Record& record,
-                                                   const EndpointId& endpoint) {
+std::optional<std::uint8_t> RequestTraces::EndpointIndex(
+    Record& record,
+    const EndpointId& endpoint) {
   if (endpoint.empty()) {
     return 0;
   }
   std::vector<EndpointId>& all = record.endpoints;
   const auto found = std::find(all.begin(), all.end(), endpoint);
   if (found == all.end()) {
-    const EndpointId added = endpoint;  // with no more capacity than it needs
+    const EndpointId added = endpoint;  // a copy has no spare capacity
     const std::size_t bytes = HeapBytes(added.text);
-    if (all.size() >= kMostEndpoints || !this->MakeRoom(bytes) ||
+    if (all.size() >= kMaxEndpoints || !this->EnsureFreeBytes(bytes) ||
         !this->Grow(record, all)) {
       return std::nullopt;
     }
@@ -111,7 +112,7 @@
   }
   const std::size_t more = std::max<std::size_t>(items.capacity(), 1);
   const std::size_t bytes = more * sizeof(Item);
-  if (!this->MakeRoom(bytes)) {
+  if (!this->EnsureFreeBytes(bytes)) {
     return false;
   }
   items.reserve(items.capacity() + more);
@@ -190,7 +191,7 @@
   return counts;
 }
 
-bool RequestTraces::MakeRoom(std::size_t bytes) {
+bool RequestTraces::EnsureFreeBytes(std::size_t bytes) {
   while (this->counted.bytes + bytes > this->options.max_bytes) {
     if (this->ended.empty()) {
       return false;
--- a/src/trace/message_steps.h
+++ b/src/trace/message_steps.h
@@ -8,9 +8,9 @@
 
 namespace acacialug::trace {
 
-// The step that a message to or from an endpoint's agent is in its request's
-// trace; empty for those of the session, and for the many of a stream
-// (chunks and their acknowledgement). Thread safe.
+// The step that a message to or from an endpoint's agent adds to its request's
+// trace. Empty for session messages, and for the frequent ones of a stream
+// (chunks and their acknowledgements). Thread safe.
 std::optional<RequestStep> StepOf(const EndpointId& endpoint,
                                   const protocol::EntryToAgent& message);
 std::optional<RequestStep> StepOf(const EndpointId& endpoint,
--- a/src/trace/request_traces.h
+++ b/src/trace/request_traces.h
@@ -13,10 +13,10 @@
 namespace acacialug::trace {
 
 // The traces of a shard's requests: of all that are alive, and of those that
-// ended last, within a bound on bytes. The oldest ended ones are dropped
-// first; when only alive ones are left, new steps and requests go untraced
-// and are counted. Without I/O and clock; not thread safe. `now` never goes
-// backwards.
+// ended most recently, within a bound on bytes. The oldest ended traces are
+// dropped first. When only traces of alive requests are left, new steps and
+// requests are counted but not traced. Uses no I/O and no clock; not thread
+// safe. `now` never decreases.
 class RequestTraces {
  public:
   struct Options {
@@ -26,31 +26,32 @@
 
   explicit RequestTraces(Options trace_options) : options(trace_options) {}
 
-  // A request arrived; an id that is known already is no error and changes
+  // A request arrived. An id that is already known is no error and changes
   // nothing.
   void Begin(TraceSubject subject, Instant now);
 
   // `step.at` is set here. A step of an unknown or ended request, and a
-  // second kQueued in a row (the same wait), are no error and not kept.
+  // second kQueued in a row (the same wait), are no error and not stored.
   void Add(const RequestId& request, const Step& step, Instant now);
 
-  // The request has its answer, or its caller is gone. Unknown is no error.
+  // The request was answered, or its caller disconnected. An unknown request
+  // is no error.
   void End(const RequestId& request,
            TraceOutcome outcome,
            ResultCode code,
            Instant now);
 
-  // A copy; empty when nothing is known of the request.
+  // A copy of the trace; empty for an unknown request.
   std::optional<Trace> Find(const RequestId& request, Instant now) const;
 
-  // Of the requests that are alive, the oldest first, at most `limit`; each
-  // with its last step only.
+  // Traces of at most `limit` alive requests, the oldest first; each with its
+  // last step only.
   std::vector<Trace> Alive(std::size_t limit, Instant now) const;
 
   TraceCounts counts() const;
 
  private:
-  // A Step in half of its size: the endpoint is an index into its record's.
+  // A Step in half of its size: `endpoint` refers to Record::endpoints.
   struct PackedStep {
     Duration at{};
     std::uint64_t amount = 0;
@@ -65,29 +66,30 @@
     Instant arrived;
     std::size_t bytes = 0;
     std::vector<PackedStep> steps;
-    std::vector<EndpointId> endpoints;  // each once
+    std::vector<EndpointId> endpoints;  // without duplicates
   };
   using Records = std::list<Record>;
 
   static Step Unpack(const Record& record, const PackedStep& packed);
   static Trace Shown(const Record& record, Instant now);
-  // One more than the place of the endpoint among the record's, where it is
-  // added if need be; 0 for none. Empty when there is no room.
-  std::optional<std::uint8_t> PlaceOf(Record& record,
-                                      const EndpointId& endpoint);
+  // One more than the endpoint's index in the record, to which it is added if
+  // it is missing; 0 for an empty endpoint. Empty without capacity.
+  std::optional<std::uint8_t> EndpointIndex(Record& record,
+                                            const EndpointId& endpoint);
   bool AddPacked(Record& record, const Step& step, Instant now);
-  // Makes room for more items of a record, doubling it; false without room.
+  // Doubles the capacity of a full list of a record; false when the bound
+  // prevents it.
   template <typename Item>
   bool Grow(Record& record, std::vector<Item>& items);
-  // Drops ended traces until so many bytes are free; false when there are
-  // not that many.
-  bool MakeRoom(std::size_t bytes);
+  // Drops ended traces until `bytes` are free; false when too few can be
+  // freed.
+  bool EnsureFreeBytes(std::size_t bytes);
   void DropOldest();
   void Charge(Record& record, std::size_t bytes);
 
   Options options;
-  Records alive;  // by arrival
-  Records ended;  // by end
+  Records alive;  // in order of arrival
+  Records ended;  // in order of end
   std::unordered_map<RequestId, Records::iterator> index;
   TraceCounts counted;
 };
--- a/src/trace/tests/request_traces_test.cc
+++ b/src/trace/tests/request_traces_test.cc
@@ -40,7 +40,7 @@
   }
 };
 
-// One ended request's bytes, to state bounds in.
+// The bytes of one request's trace, as the unit of the tests' bounds.
 std::size_t BytesOfOne() {
   Bench bench;
   bench.Begin(1);
@@ -49,7 +49,7 @@
 
 const testing::Story kTraces(
     "the traces of a shard",
-    {It("tell a request's steps with times since its arrival, and its end",
+    {It("show a request's steps with times since its arrival, and its end",
         [] {
           Bench bench;
           bench.Begin(1);
@@ -68,7 +68,7 @@
           CPPUNIT_ASSERT(trace->code == ResultCode::kOverloaded);
           CPPUNIT_ASSERT(trace->took == 5ms && trace->age == 9ms);
         }),
-     It("list those alive, the oldest first, within a limit",
+     It("list alive requests, the oldest first, within a limit",
         [] {
           Bench bench;
           for (const std::uint64_t number : {1, 2, 3, 4}) {
@@ -84,7 +84,7 @@
                          alive[0].steps[0].kind == StepKind::kQueued);
           CPPUNIT_ASSERT_EQUAL(std::size_t{3}, bench.traces.counts().alive);
         }),
-     It("keep one wait as one step, however often its turn came in vain",
+     It("store one wait as one step, however often it was queued again",
         [] {
           Bench bench;
           bench.Begin(1);
@@ -95,7 +95,7 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{2}, trace->steps.size());
           CPPUNIT_ASSERT(trace->steps_left_out == 0);
         }),
-     It("take no step of a request that ended, and none of a stranger", [] {
+     It("store no step of an ended or unknown request", [] {
        Bench bench;
        bench.Begin(1);
        bench.End(1);
@@ -108,10 +108,10 @@
      })});
 
 const testing::Story kBounds(
-    "the traces of a shard that run into their bound",
+    "the traces of a shard that reach their bound",
     {// Symptom: an entry's memory grows with its uptime. Sequence: requests
-     // end, and their traces stay. Cause: nothing drops them.
-     It("drop the oldest ended ones first, and count them",
+     // end, and their traces remain. Cause: nothing drops them.
+     It("drop the oldest ended traces first, and count them",
         [] {
           Bench bench({.max_bytes = 3 * BytesOfOne()});
           bench.Begin(1);  // stays alive
@@ -125,7 +125,7 @@
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, counts.dropped);
           CPPUNIT_ASSERT(counts.bytes <= 3 * BytesOfOne());
         }),
-     It("leave new requests untraced when all others are alive, and count them",
+     It("count new requests and do not trace them when all others are alive",
         [] {
           Bench bench({.max_bytes = BytesOfOne()});
           bench.Begin(1);
@@ -137,7 +137,7 @@
           bench.Begin(3);
           CPPUNIT_ASSERT(bench.Knows(3) && !bench.Knows(1));
         }),
-     It("leave out steps beyond a request's own bound, and say how many",
+     It("omit steps beyond a request's own bound, and count them",
         [] {
           Bench bench({.max_steps = 4});
           bench.Begin(1);
@@ -148,13 +148,13 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{4}, trace->steps.size());
           CPPUNIT_ASSERT(trace->steps_left_out == 7);
         }),
-     It("keep nothing when the bound is zero",
+     It("store nothing when the bound is zero",
         [] {
           Bench bench({.max_bytes = 0});
           bench.Begin(1);
           CPPUNIT_ASSERT(!bench.Knows(1));
         }),
-     It("never exceed it, whatever comes", [] {
+     It("never exceed it under any sequence of calls", [] {
        const std::size_t bound = 10 * BytesOfOne();
        Bench bench({.max_bytes = bound});
        for (std::uint64_t number = 0; number < 500; ++number) {
@@ -183,7 +183,7 @@
 std::optional<RequestStep> Sent(const protocol::EntryToAgent& message) {
   return StepOf(kEndpoint, message);
 }
-std::optional<RequestStep> Heard(const protocol::AgentToEntry& message) {
+std::optional<RequestStep> Received(const protocol::AgentToEntry& message) {
   return StepOf(kEndpoint, message);
 }
 
@@ -193,7 +193,7 @@
          "is a step of its attempt and endpoint, or none:",
          {{"Hello", Sent(protocol::Hello{}), {}},
           {"Acknowledge", Sent(protocol::Acknowledge{.attempt = kAttempt}), {}},
-          {"Chunk", Heard(protocol::Chunk{.attempt = kAttempt}), {}},
+          {"Chunk", Received(protocol::Chunk{.attempt = kAttempt}), {}},
           {"Reserve", Sent(protocol::Reserve{.attempt = kAttempt}),
            StepKind::kReserveSent},
           {"StartDecode", Sent(protocol::StartDecode{.attempt = kAttempt}),
@@ -204,7 +204,7 @@
            StepKind::kDecodeResumed},
           {"Cancel", Sent(protocol::Cancel{.attempt = kAttempt}),
            StepKind::kReleased},
-          {"Failed", Heard(protocol::Failed{.attempt = kAttempt}),
+          {"Failed", Received(protocol::Failed{.attempt = kAttempt}),
            StepKind::kFailed}},
          [](const MessageRow& row) { return row.name; },
          [](const MessageRow& row) {
@@ -216,12 +216,12 @@
              CPPUNIT_ASSERT(row.step->step.endpoint == kEndpoint);
            }
          }),
-     It("that refuses tells phase, code and advice", [] {
+     It("that refuses records phase, code and retry delay", [] {
        const auto refused =
-           Heard(protocol::Refused{.attempt = kAttempt,
-                                   .phase = protocol::Phase::kPrefill,
-                                   .code = ResultCode::kOverloaded,
-                                   .retry_after = 2ms});
+           Received(protocol::Refused{.attempt = kAttempt,
+                                      .phase = protocol::Phase::kPrefill,
+                                      .code = ResultCode::kOverloaded,
+                                      .retry_after = 2ms});
        CPPUNIT_ASSERT(refused->step.phase == protocol::Phase::kPrefill);
        CPPUNIT_ASSERT(refused->step.code == ResultCode::kOverloaded);
        CPPUNIT_ASSERT(refused->step.amount == 2000);
--- a/src/trace/types/trace.h
+++ b/src/trace/types/trace.h
@@ -14,7 +14,7 @@
 
 namespace acacialug::trace {
 
-// What happened to a request, as its entry saw it.
+// An event in a request's processing, as its entry recorded it.
 enum class StepKind : std::uint8_t {
   kArrived,
   kQueued,
@@ -56,7 +56,7 @@
     {StepKind::kEndpointLost, "endpoint_lost"},
 }};
 
-// What `Step::amount` counts; kinds that are not here have none.
+// The quantity in `Step::amount`; kinds that are not listed have none.
 inline constexpr EnumNames<StepKind, 8> kAmountNames = {{
     {StepKind::kReserveSent, "kv_tokens"},
     {StepKind::kReserved, "available_in_us"},
@@ -107,8 +107,8 @@
     {TraceOutcome::kCallerGone, "caller_gone"},
 }};
 
-// What a request is about. Neither the caller nor anything that it sent is
-// here: traces are shown to whoever reaches the operations port.
+// Identifies a request and its service. It holds neither the caller nor its
+// data: any client that reaches the operations port can read traces.
 struct TraceSubject {
   RequestId request;
   RequestKind kind = RequestKind::kGeneration;
@@ -118,12 +118,12 @@
   friend bool operator==(const TraceSubject&, const TraceSubject&) = default;
 };
 
-// One request's way through its entry.
+// The recorded steps of one request in its entry.
 struct Trace {
   TraceSubject subject;
   TraceOutcome outcome = TraceOutcome::kAlive;
-  ResultCode code = ResultCode::kOk;  // of the error answered, if any
-  Duration age{};                     // arrival until it was asked for
+  ResultCode code = ResultCode::kOk;  // of the answered error, if any
+  Duration age{};                     // arrival until the trace was read
   Duration took{};                    // arrival to end; zero while alive
   std::uint32_t steps_left_out = 0;   // beyond a bound
   std::vector<Step> steps;
@@ -131,14 +131,14 @@
   friend bool operator==(const Trace&, const Trace&) = default;
 };
 
-// What a RequestTraces has counted since its start, and what it holds now.
+// Counts of a RequestTraces since its start, and its current contents.
 struct TraceCounts {
   std::size_t kept = 0;              // traces, of requests alive and ended
   std::size_t alive = 0;             // of these
-  std::size_t bytes = 0;             // that they take
-  std::uint64_t dropped = 0;         // ended ones, to make room
-  std::uint64_t not_traced = 0;      // requests that found no room at all
-  std::uint64_t steps_left_out = 0;  // steps that found no room
+  std::size_t bytes = 0;             // used by the kept traces
+  std::uint64_t dropped = 0;         // ended traces, to free bytes
+  std::uint64_t not_traced = 0;      // requests, for lack of capacity
+  std::uint64_t steps_left_out = 0;  // steps, beyond a bound
 
   friend bool operator==(const TraceCounts&, const TraceCounts&) = default;
 };
