--- a/src/cluster/http_host_list.h
+++ b/src/cluster/http_host_list.h
@@ -16,7 +16,7 @@
  public:
   HttpHostList(http::Address list_address, http::Client& http_client);
 
-  // Hosts of an unknown state are left out: nothing is concluded from them.
+  // Omits hosts of an unknown state: nothing can be concluded from them.
   void Read(
       std::function<void(Result<std::vector<HostRecord>>)> on_done) override;
 
--- a/src/cluster/http_log.h
+++ b/src/cluster/http_log.h
@@ -20,7 +20,7 @@
   HttpLog(http::Address log_address, http::Client& http_client);
 
   // Answered 503 or provably not sent: kPlatformUnavailable. Everything else
-  // without an offset: kAppendUnresolved, since the log may have taken the
+  // without an offset: kAppendUnresolved, since the log may have appended the
   // record before its answer was lost.
   void Append(const std::string& stream,
               std::string payload,
--- a/src/cluster/http_weight_store.h
+++ b/src/cluster/http_weight_store.h
@@ -9,7 +9,7 @@
 namespace acacialug::cluster {
 
 // The platform's weight store over HTTP: POST /permits {"endpoint": "..."}
-// answers 200 {"lease_ms": n} or 429; DELETE /permits/ENDPOINT gives back.
+// answers 200 {"lease_ms": n} or 429; DELETE /permits/ENDPOINT releases.
 // One thread, that of `client`, which must outlive this.
 class HttpWeightStore : public IWeightStore {
  public:
--- a/src/cluster/i_host_list.h
+++ b/src/cluster/i_host_list.h
@@ -22,8 +22,8 @@
   HostState state = HostState::kLive;
 };
 
-// The platform's list of live and leaving hosts, which lags. Lives on one
-// thread; the hook runs there, never from inside the call.
+// The platform's list of live and leaving hosts, which may be out of date.
+// Lives on one thread; the hook runs there, never from inside the call.
 class IHostList {
  public:
   virtual ~IHostList() = default;
--- a/src/cluster/i_log.h
+++ b/src/cluster/i_log.h
@@ -22,8 +22,8 @@
     std::string payload;
   };
   struct Read {
-    LogOffset first_kept;  // the oldest offset still held
-    LogOffset next;        // where the next record will stand
+    LogOffset first_kept;  // the oldest offset still stored
+    LogOffset next;        // the offset of the next record
     std::vector<Record> records;
   };
 
@@ -35,10 +35,10 @@
                       std::string payload,
                       std::function<void(Result<LogOffset>)> on_done) = 0;
 
-  // Reads from an offset on, at most `limit` records. With none there yet the
-  // log may hold its answer for `wait`. Errors: kPlatformUnavailable,
-  // kPlatformBadAnswer. An offset older than first_kept is no error:
-  // first_kept tells.
+  // Reads at most `limit` records from an offset on. Without any record yet,
+  // the log may delay its answer for up to `wait`. Errors:
+  // kPlatformUnavailable, kPlatformBadAnswer. An offset older than first_kept
+  // is no error: first_kept shows it.
   virtual void ReadFrom(const std::string& stream,
                         LogOffset from,
                         std::size_t limit,
--- a/src/cluster/i_weight_store.h
+++ b/src/cluster/i_weight_store.h
@@ -9,17 +9,17 @@
 
 namespace acacialug::cluster {
 
-// The platform's rate-limited weight store. A load is only begun under a
-// permit, so that few run at once and none starves. Lives on one thread.
+// The platform's rate-limited weight store. A load starts only under a permit,
+// so that few run at once and none starves. Lives on one thread.
 class IWeightStore {
  public:
   virtual ~IWeightStore() = default;
 
-  // Asks for a permit to load; on success, how long it holds. Errors:
-  // kPlatformUnavailable, kOverloaded (ask again later).
+  // Requests a permit to load; the result is the permit's lease. Errors:
+  // kPlatformUnavailable, kOverloaded (retry later).
   virtual void Acquire(const EndpointId& endpoint,
                        std::function<void(Result<Duration>)> on_done) = 0;
-  // Safe to repeat.
+  // Idempotent.
   virtual void Release(const EndpointId& endpoint) = 0;
 };
 
--- a/src/cluster/internal/http_log.cc
+++ b/src/cluster/internal/http_log.cc
@@ -24,7 +24,7 @@
 }
 
 Result<LogOffset> ReadAppended(const JsonAnswer& answer) {
-  // The log says itself that it did not take the record, or never saw it.
+  // The log refused the record, or the request was never sent.
   if (!answer.sent || answer.status == kStatusUnavailable ||
       answer.status == kStatusTooMany) {
     return Error(ResultCode::kPlatformUnavailable, "append not taken");
--- a/src/cluster/internal/http_weight_store.cc
+++ b/src/cluster/internal/http_weight_store.cc
@@ -46,7 +46,7 @@
 }
 
 void HttpWeightStore::Release(const EndpointId& endpoint) {
-  // A lost release ends with the permit's own lease.
+  // If the release is lost, the permit ends with its lease.
   internal::ExchangeJson(
       this->client, this->address,
       {.method = "DELETE", .target = "/permits/" + endpoint.text},
--- a/src/cluster/internal/json_exchange.h
+++ b/src/cluster/internal/json_exchange.h
@@ -9,20 +9,20 @@
 
 namespace acacialug::cluster::internal {
 
-// What came of one exchange whose answer is JSON.
+// The outcome of one exchange whose answer is JSON.
 struct JsonAnswer {
-  bool sent = true;     // false: not one byte of the request left
-  int status = 0;       // 0: no whole answer came
-  nlohmann::json body;  // discarded value when it is not JSON
+  bool sent = true;     // false: no byte of the request was sent
+  int status = 0;       // 0: no complete answer
+  nlohmann::json body;  // discarded value unless it is JSON
 };
 
-// Sends a request and tells its answer once, never from inside the call.
+// Sends a request and calls `on_done` once, never from inside the call.
 void ExchangeJson(http::Client& client,
                   const http::Address& address,
                   const http::Request& request,
                   std::function<void(const JsonAnswer& answer)> on_done);
 
-// A non-negative whole number of an object; false when it has none.
+// Reads a non-negative integer of an object; false when it has none.
 bool ReadNumber(const nlohmann::json& object,
                 const char* key,
                 std::uint64_t& number);
