--- a/src/manifest/types/manifest.h
+++ b/src/manifest/types/manifest.h
@@ -53,7 +53,7 @@
   std::string version;
 };
 
-// The minimum of a service's pool that orders leave in service.
+// The minimum number of endpoints that orders leave in service, of one pool.
 struct PoolRule {
   protocol::EndpointRole role = protocol::EndpointRole::kPlain;
   std::uint32_t minimum_serving = 0;
