--- a/src/app/agent/main.cc
+++ b/src/app/agent/main.cc
@@ -157,7 +157,7 @@
                          .follow_stream = follow_stream},
             .log = std::make_unique<cluster::HttpLog>(
                 *this->settings.platform_log, *this->log_client),
-            .on_in_force =
+            .on_active =
                 [this](const configuration::AcceptedManifest& accepted) {
                   this->TrimHeap();
                   const Status applied =
--- a/src/configuration_client/configuration_client.h
+++ b/src/configuration_client/configuration_client.h
@@ -22,7 +22,7 @@
   // The platform's log, created once on the client's thread.
   std::unique_ptr<cluster::ILog> log;
   // A newer manifest became active in this process; never an older one.
-  std::function<void(const configuration::AcceptedManifest&)> on_in_force;
+  std::function<void(const configuration::AcceptedManifest&)> on_active;
   // Operations ports of entries, which are queried for their active manifest
   // while the log does not answer. May be empty.
   std::vector<http::Address> peers;
@@ -52,7 +52,7 @@
   bool ready() const;
 
   // Null before the first manifest.
-  const configuration::AcceptedManifest* in_force() const;
+  const configuration::AcceptedManifest* active() const;
 
  private:
   class Implementation;
--- a/src/configuration_client/internal/configuration_client.cc
+++ b/src/configuration_client/internal/configuration_client.cc
@@ -100,7 +100,7 @@
               {.fields = {{"offset", activate.accepted.manifest->offset},
                           {"version", activate.accepted.manifest->version}}});
     QTimer::singleShot(0, &this->context, [this, accepted = activate.accepted] {
-      this->options.on_in_force(accepted);
+      this->options.on_active(accepted);
     });
   }
 
@@ -166,7 +166,7 @@
   return this->implementation->state().ready();
 }
 
-const configuration::AcceptedManifest* ConfigurationClient::in_force() const {
+const configuration::AcceptedManifest* ConfigurationClient::active() const {
   return this->implementation->state().active();
 }
 
--- a/src/configuration_client/tests/configuration_client_test.cc
+++ b/src/configuration_client/tests/configuration_client_test.cc
@@ -75,7 +75,7 @@
                          .max_retry_delay = 2ms,
                          .follow_stream = follow},
             .log = std::make_unique<MemoryLog>(this->log),
-            .on_in_force =
+            .on_active =
                 [this](const configuration::AcceptedManifest& accepted) {
                   this->activated.push_back(accepted.manifest->version);
                 },
--- a/src/entry_process/internal/manifest_source.cc
+++ b/src/entry_process/internal/manifest_source.cc
@@ -72,7 +72,7 @@
                        .max_retry_delay = kLongestRetry,
                        .retention = this->options.log_retention},
           .log = std::move(this->options.log),
-          .on_in_force =
+          .on_active =
               [this](const configuration::AcceptedManifest&) {
                 this->HandOn();
               },
@@ -89,8 +89,8 @@
     return;
   }
   this->ready_check.stop();
-  this->options.on_manifest(this->client->in_force()->manifest,
-                            this->client->in_force()->text);
+  this->options.on_manifest(this->client->active()->manifest,
+                            this->client->active()->text);
 }
 
 }  // namespace acacialug::entry_process
