--- a/src/agent_process/agent_process.h
+++ b/src/agent_process/agent_process.h
@@ -17,45 +17,51 @@
 
 struct AgentProcessOptions {
   AgentSettings settings;
-  // The engine beside this agent; tests put a fake here.
+  // The engine beside this agent; tests supply a fake.
   std::function<std::unique_ptr<engine::IEngine>(const engine::EngineOptions&)>
       make_engine;
-  // The platform's log, for the order in which a pool's endpoints go out of
-  // service. Empty: there is none, and orders take no turns.
+  // The platform's log, which holds the maintenance queue of a pool's
+  // endpoints. Empty: there is no log, and orders don't wait for the queue.
   std::function<std::unique_ptr<cluster::ILog>()> make_turns_log;
-  // An entry spoke of a manifest of this offset, newer than the one in force.
+  // Runs when an entry reports a manifest of this offset, newer than the active
+  // one.
   std::function<void(LogOffset)> on_manifest_heard;
-  // Whether no entry has a session here; told when that changes.
+  // Runs when the agent loses its last session with an entry, or gets its first
+  // one again; `alone`: no entry has a session.
   std::function<void(bool alone)> on_alone;
-  // Whether what was given to OnManifest is the newest known; empty: always.
+  // Whether the manifest last given to OnManifest is the newest known; empty:
+  // always.
   std::function<bool()> configuration_ready;
-  // Runs once: the drain that Drain began is over, and every answer has left.
+  // Runs once, when the drain that Drain began has finished and every answer
+  // has been sent, or the time limit for sending has passed.
   std::function<void()> on_drained;
 };
 
-// The agent of one endpoint: operations port from the start, entries' port
-// from the first manifest on, which tells the endpoint's role. Everything
-// runs on the thread that made it, whose Qt event loop must run.
+// The agent of one endpoint. The operations port is open from Start on, and the
+// entries' port from the first manifest on, which defines the endpoint's role.
+// Everything runs on the thread that created the object, whose Qt event loop
+// must run.
 class AgentProcess {
  public:
   explicit AgentProcess(AgentProcessOptions process_options);
   ~AgentProcess();
 
-  // Listens for operators. Errors: kAddressInUse, kCertificateInvalid.
+  // Opens the operations port. Errors: kAddressInUse, kCertificateInvalid.
   Status Start();
 
-  // A newer manifest is in force. The first makes the agent listen for
-  // entries and ask its engine what it holds. Errors: kManifestInvalid when
-  // the first does not fit this endpoint (a later one may), kAddressInUse,
+  // Applies a newer active manifest. The first makes the agent listen for
+  // entries and query its engine for what it holds. Errors: kManifestInvalid
+  // when the first does not fit this endpoint (a later one may), kAddressInUse,
   // kCertificateInvalid. Precondition: Start succeeded.
   Status OnManifest(const std::shared_ptr<const manifest::Manifest>& newest);
 
-  // Leaves: new work is refused, what runs goes on; on_drained follows, at the
-  // latest after the settings' drain grace. Repeated calls change nothing.
+  // Begins the drain: new work is refused and running work continues.
+  // on_drained follows, at the latest after the settings' drain grace. Repeated
+  // calls change nothing.
   void Drain();
 
-  // Loads the certificates anew, for connections from now on. Errors:
-  // kCertificateInvalid (the old ones stay).
+  // Reloads the certificates for new connections. Errors: kCertificateInvalid
+  // (the old certificates stay active).
   Status ReloadTls();
 
   // The port for entries; zero before the first manifest.
@@ -65,7 +71,7 @@
 
   AgentStatus status() const;
 
-  // What every attempt holds here; none before the first manifest.
+  // The resources that each attempt holds here; none before the first manifest.
   std::vector<agent::HeldAttempt> holdings() const;
 
  private:
--- a/src/agent_process/internal/agent_process.cc
+++ b/src/agent_process/internal/agent_process.cc
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kListenRetry{500};
-constexpr std::chrono::milliseconds kAnswerFirst{50};
-constexpr std::chrono::milliseconds kNextTurn{0};
+constexpr std::chrono::milliseconds kAnswerDelay{50};
+constexpr std::chrono::milliseconds kNextLoopIteration{0};
 
 }  // namespace
 
@@ -28,7 +28,7 @@
         operations(this->OperationsOptions()) {
     this->listen_retry.setSingleShot(true);
     QObject::connect(&this->listen_retry, &QTimer::timeout, &this->context,
-                     [this] { this->ListenAgain(); });
+                     [this] { this->RetryPending(); });
   }
 
   Status Start() { return this->operations.Start(); }
@@ -42,11 +42,11 @@
         return made;
       }
     }
-    this->unlistened.reset();
+    this->pending_manifest.reset();
     this->manifest_offset = newest->offset;
     this->manifest_version = newest->version;
     this->runtime->OnManifest(
-        OwnPartOf(*newest, this->options.settings.agent.endpoint));
+        ManifestForEndpoint(*newest, this->options.settings.agent.endpoint));
     return Success{};
   }
 
@@ -88,19 +88,20 @@
   }
 
  private:
-  // A port that its last owner has not given up yet is free a moment later, but
-  // the next manifest may be days away: an agent that waits for that serves
-  // nothing, while its process and its operations port look alive.
+  // A port that its previous owner has not yet released is free soon after, but
+  // the next manifest may be days away: an agent that waits for that manifest
+  // serves nothing, while its process and its operations port look alive.
   void RetryListening(const Error& error,
                       const std::shared_ptr<const manifest::Manifest>& newest) {
     if (error.result_code() == ResultCode::kAddressInUse) {
-      this->unlistened = newest;
+      this->pending_manifest = newest;
       this->listen_retry.start(kListenRetry);
     }
   }
 
-  void ListenAgain() {
-    const std::shared_ptr<const manifest::Manifest> held = this->unlistened;
+  void RetryPending() {
+    const std::shared_ptr<const manifest::Manifest> held =
+        this->pending_manifest;
     const Status taken = this->OnManifest(held);
     if (!taken.ok()) {
       log::Warning("listen_failed",
@@ -131,7 +132,8 @@
   http::ServerOptions OperationsOptions() {
     http::ServerOptions server;
     server.listen = this->options.settings.operations_listen;
-    // Small: this port must not take the memory that the agent's work needs.
+    // The limits are small, so that this port doesn't take the memory that the
+    // agent's work needs.
     server.limits.max_body_bytes = 4096;
     server.limits.max_connections = 64;
     server.make_handler = [this](int) {
@@ -152,21 +154,22 @@
             .drain = [this] { this->DrainSoon(); }};
   }
 
-  // Whoever asked for it by the operations port gets its answer first: without
-  // a runtime, which waits for its last frames to leave, the process ends at
-  // once.
+  // Lets the answer to the drain request leave first: without a runtime, which
+  // waits until its last frames are sent, the process ends at once.
   void DrainSoon() {
-    const auto wait = this->runtime == nullptr ? kAnswerFirst : kNextTurn;
+    const auto wait =
+        this->runtime == nullptr ? kAnswerDelay : kNextLoopIteration;
     QTimer::singleShot(wait, &this->context, [this] { this->Drain(); });
   }
 
   AgentProcessOptions options;
   RandomSource random;
   metrics::Registry registry;
-  std::unique_ptr<AgentRuntime> runtime;  // from the first manifest on
+  std::unique_ptr<AgentRuntime> runtime;  // null before the first manifest
   LogOffset manifest_offset;
   std::string manifest_version;
-  std::shared_ptr<const manifest::Manifest> unlistened;  // its port was taken
+  std::shared_ptr<const manifest::Manifest>
+      pending_manifest;  // set while its port is in use
   http::Server operations;
   QObject context;
   QTimer listen_retry;
--- a/src/agent_process/internal/agent_runtime.cc
+++ b/src/agent_process/internal/agent_runtime.cc
@@ -11,15 +11,15 @@
 namespace acacialug::agent_process {
 namespace {
 
-// The last answers get this long to leave after the drain; a peer that does
-// not read must not keep the process.
+// Time limit for sending the last answers after the drain; a peer that does not
+// read must not keep the process running.
 constexpr Duration kFlushLimit = 2s;
 constexpr std::chrono::milliseconds kFlushCheck{20};
-constexpr std::size_t kTurnsPerRead = 1024;
+constexpr std::size_t kMaintenanceRecordsPerRead = 1024;
 
-// Qt's timers count milliseconds; rounded up, so that a timer is never early
-// and the core is not asked in vain. At least one: whatever is due, this
-// process never spins.
+// Qt's timers count milliseconds. The duration is rounded up, so that a timer
+// doesn't fire early and call the core for nothing. It is at least 1 ms, so
+// that the process never spins.
 std::chrono::milliseconds RoundUp(Duration duration) {
   return std::max(std::chrono::ceil<std::chrono::milliseconds>(duration),
                   std::chrono::milliseconds(1));
@@ -37,9 +37,9 @@
       timings(registry),
       core(this->CoreOptions(), random),
       engine(process_options.make_engine(complete.engine)),
-      turns_log(process_options.make_turns_log
-                    ? process_options.make_turns_log()
-                    : nullptr),
+      maintenance_log(process_options.make_turns_log
+                          ? process_options.make_turns_log()
+                          : nullptr),
       sessions(this->SessionHooks(), this->counters),
       frames(this->FrameOptions()),
       heartbeats({.max_bytes = protocol::kMaxDatagramBytes,
@@ -70,12 +70,12 @@
 }
 
 void AgentRuntime::StartHeartbeats() {
-  // By datagrams nobody would know whose heartbeat it is: the certificates of
-  // peer_tls speak for connections only (docs/decisions).
+  // A datagram would not authenticate its sender: the certificates of peer_tls
+  // cover connections only (docs/decisions).
   if (this->settings.peer_tls.enabled()) {
     return;
   }
-  // The port that firewalls let entries reach, unless the system chose it.
+  // Firewalls let entries reach this port, unless the system chose it.
   const Status bound = this->heartbeats.Bind(this->settings.listen);
   if (!bound.ok()) {
     log::Warning("heartbeats_by_frames",
@@ -116,8 +116,8 @@
   if (found != nullptr) {
     this->record = *found;
   } else {
-    // The core takes no notice of a manifest that does not name it; without
-    // this an endpoint that was removed would go on for ever.
+    // The core ignores a manifest that does not name its endpoint; without this
+    // a removed endpoint would continue to serve indefinitely.
     auto with_record = std::make_shared<manifest::Manifest>(*newest);
     this->record.leaving = true;
     with_record->endpoints.push_back(this->record);
@@ -253,8 +253,8 @@
     }
   }
   this->ArmTimer(now);
-  this->TellNewerManifest();
-  this->TellAlone();
+  this->ReportNewerManifest();
+  this->ReportAlone();
   this->CheckBudget();
   this->CheckDrained(now);
 }
@@ -273,32 +273,34 @@
 }
 
 void AgentRuntime::Do(const agent::ReadMaintenanceStream& action) {
-  this->turns_log->ReadFrom(action.stream, action.from, kTurnsPerRead,
-                            Duration::zero(),
-                            [this, weak = std::weak_ptr(this->alive)](
-                                const Result<cluster::ILog::Read>& result) {
-                              if (!weak.expired()) {
-                                const Instant now = MonotonicNow();
-                                this->core.OnMaintenanceRead(result, now);
-                                this->Pump(now);
-                              }
-                            });
+  this->maintenance_log->ReadFrom(
+      action.stream, action.from, kMaintenanceRecordsPerRead, Duration::zero(),
+      [this, weak = std::weak_ptr(this->alive)](
+          const Result<cluster::ILog::Read>& result) {
+        if (!weak.expired()) {
+          const Instant now = MonotonicNow();
+          this->core.OnMaintenanceRead(result, now);
+          this->Pump(now);
+        }
+      });
 }
 
 void AgentRuntime::Do(const agent::AppendMaintenanceRecord& action) {
-  this->turns_log->Append(action.stream, action.payload,
-                          [this, weak = std::weak_ptr(this->alive)](
-                              const Result<LogOffset>& result) {
-                            if (!weak.expired()) {
-                              const Instant now = MonotonicNow();
-                              this->core.OnMaintenanceAppended(result, now);
-                              this->Pump(now);
-                            }
-                          });
+  this->maintenance_log->Append(
+      action.stream, action.payload,
+      [this,
+       weak = std::weak_ptr(this->alive)](const Result<LogOffset>& result) {
+        if (!weak.expired()) {
+          const Instant now = MonotonicNow();
+          this->core.OnMaintenanceAppended(result, now);
+          this->Pump(now);
+        }
+      });
 }
 
-// The core's next instant moves with every token; the event loop's timer is
-// only set anew when it moves earlier, and found too early when it fires.
+// The core's next instant changes with every token. The event loop's timer is
+// restarted only when that instant moves earlier; when it moves later, the
+// timer fires too early, and OnTimer then only arms it again.
 void AgentRuntime::ArmTimer(Instant now) {
   const Instant due = this->core.next_timer();
   if (due >= this->armed_for) {
@@ -323,25 +325,25 @@
                    this->settings.agent.heartbeats.bytes_per_second}}});
 }
 
-void AgentRuntime::TellNewerManifest() {
-  const LogOffset heard = this->core.newest_reported_manifest();
-  if (heard != this->last_told && this->options.on_manifest_heard) {
-    this->last_told = heard;
-    this->options.on_manifest_heard(heard);
+void AgentRuntime::ReportNewerManifest() {
+  const LogOffset newest = this->core.newest_reported_manifest();
+  if (newest != this->last_reported && this->options.on_manifest_heard) {
+    this->last_reported = newest;
+    this->options.on_manifest_heard(newest);
   }
 }
 
-void AgentRuntime::TellAlone() {
+void AgentRuntime::ReportAlone() {
   const bool now_alone = this->core.has_no_sessions();
-  if (now_alone != this->told_alone && this->options.on_alone) {
-    this->told_alone = now_alone;
+  if (now_alone != this->reported_alone && this->options.on_alone) {
+    this->reported_alone = now_alone;
     this->options.on_alone(now_alone);
   }
 }
 
 void AgentRuntime::CheckDrained(Instant now) {
-  if (!this->draining || this->drained_told || this->flush_timer.isActive() ||
-      !this->core.drained()) {
+  if (!this->draining || this->drained_reported ||
+      this->flush_timer.isActive() || !this->core.drained()) {
     return;
   }
   log::Info("drain_ended", {.endpoint = this->settings.agent.endpoint});
@@ -354,7 +356,7 @@
     return;
   }
   this->flush_timer.stop();
-  this->drained_told = true;
+  this->drained_reported = true;
   this->sessions.CloseAll();
   if (this->options.on_drained) {
     this->options.on_drained();
--- a/src/agent_process/internal/agent_runtime.h
+++ b/src/agent_process/internal/agent_runtime.h
@@ -16,33 +16,33 @@
 
 namespace acacialug::agent_process {
 
-// An AgentCore with its sessions, engine and timer around it. Made once the
-// manifest in force tells the endpoint's role. Lives on one thread with a Qt
+// Connects an AgentCore to its sessions, engine and timer. Created once the
+// active manifest defines the endpoint's role. Runs on one thread with a Qt
 // event loop.
 class AgentRuntime {
  public:
-  // `complete`: the settings as WithManifest gave them. All references must
-  // outlive this.
+  // `complete`: the settings as WithManifest returned them. All references must
+  // outlive this object.
   AgentRuntime(const AgentProcessOptions& process_options,
                const AgentSettings& complete,
                RandomSource& random,
                metrics::Registry& registry);
 
-  // Listens for entries and asks the engine what it holds. Errors:
+  // Listens for entries and queries the engine for what it holds. Errors:
   // kAddressInUse, kCertificateInvalid.
   Status Start();
 
-  // Precondition: newer than what was given before. A manifest without this
-  // endpoint counts as one in which it is leaving.
+  // Precondition: newer than every manifest given before. A manifest without
+  // this endpoint counts as one that marks it as leaving.
   void OnManifest(const std::shared_ptr<const manifest::Manifest>& newest);
 
-  // on_drained of the options follows. Repeated calls change nothing.
+  // The options' on_drained follows. Repeated calls change nothing.
   void Drain();
 
   Status ReloadTls() { return this->frames.ReloadTls(); }
   std::uint16_t port() const { return this->frames.port(); }
 
-  // Fills what the runtime knows.
+  // Sets the fields that the runtime knows.
   void FillStatus(AgentStatus& status) const;
   std::vector<agent::HeldAttempt> Holdings() const {
     return this->core.Holdings(MonotonicNow());
@@ -53,14 +53,14 @@
   SessionTable::Hooks SessionHooks();
   net::FrameServer::Options FrameOptions();
 
-  // Without a socket (it is logged) sessions are renewed by frames.
+  // When no socket can be bound, that is logged and frames renew the sessions.
   void StartHeartbeats();
   void OnDatagram(std::string_view datagram, const http::Address& from);
   void OnEngineEvent(const engine::EngineEvent& event);
   void Count(const engine::EngineEvent& event);
   void LogFailure(const engine::AttemptFailed& failed);
   void OnTimer();
-  // Carries out what the core decided, and arms the timer for what comes next.
+  // Carries out the core's actions and arms the timer for its next instant.
   void Pump(Instant now);
   void Do(const agent::SendToEntry& action);
   void Do(const agent::CloseSession& action);
@@ -69,8 +69,8 @@
   void Do(const agent::AppendMaintenanceRecord& action);
   void ArmTimer(Instant now);
   void CheckBudget();
-  void TellNewerManifest();
-  void TellAlone();
+  void ReportNewerManifest();
+  void ReportAlone();
   void CheckDrained(Instant now);
   void CheckFlushed();
 
@@ -82,8 +82,8 @@
   log::RepeatLimiter limiter{{}};
   agent::AgentCore core;
   std::unique_ptr<engine::IEngine> engine;
-  std::unique_ptr<cluster::ILog> turns_log;  // null: orders take no turns
-  // Answers that come after this object's end are dropped.
+  std::unique_ptr<cluster::ILog> maintenance_log;  // null: no queue
+  // Answers that arrive after this object's destruction are dropped.
   std::shared_ptr<const bool> alive = std::make_shared<const bool>(true);
   SessionTable sessions;
   net::FrameServer frames;
@@ -95,10 +95,11 @@
   bool within_budget = true;
   bool engine_known = false;
   bool draining = false;
-  bool drained_told = false;
-  LogOffset last_told;
-  bool told_alone = false;
-  manifest::Endpoint record;  // of this endpoint, as last seen
+  bool drained_reported = false;
+  LogOffset last_reported;
+  bool reported_alone = false;
+  // This endpoint's record, from the newest manifest that has one.
+  manifest::Endpoint record;
 };
 
 }  // namespace acacialug::agent_process
--- a/src/agent_process/internal/engine_timings.h
+++ b/src/agent_process/internal/engine_timings.h
@@ -9,8 +9,8 @@
 
 namespace acacialug::agent_process {
 
-// Measures how long the engine takes, from the commands it gets and the
-// events it tells. Not thread safe.
+// Measures the engine's latencies from the commands that it receives and the
+// events that it sends. Not thread safe.
 class EngineTimings {
  public:
   // The registry must outlive this.
@@ -24,7 +24,7 @@
 
  private:
   struct Begun {
-    Instant last;  // the command, and then each text
+    Instant last;  // instant of the command, then of the newest text
     bool has_text = false;
   };
 
--- a/src/agent_process/internal/manifest_options.cc
+++ b/src/agent_process/internal/manifest_options.cc
@@ -41,7 +41,7 @@
   return agent_settings;
 }
 
-std::shared_ptr<const manifest::Manifest> OwnPartOf(
+std::shared_ptr<const manifest::Manifest> ManifestForEndpoint(
     const manifest::Manifest& manifest,
     const EndpointId& endpoint) {
   auto part = std::make_shared<manifest::Manifest>();
@@ -54,7 +54,7 @@
             manifest.FindService(record->service)) {
       part->services.push_back(*service);
     }
-    // Of the others in its pool, what its turn for an order hangs on.
+    // The other pool members' ids, which the maintenance queue depends on.
     for (const EndpointId& id :
          manifest.PoolMembers(record->service, record->role)) {
       if (id != endpoint) {
--- a/src/agent_process/internal/operations_pages.cc
+++ b/src/agent_process/internal/operations_pages.cc
@@ -84,7 +84,7 @@
   return Answer(status, "text/plain", line + "\n");
 }
 
-// Of the codes that a request on these paths can meet.
+// The HTTP status for the result codes that occur on these paths.
 int StatusOf(ResultCode code) {
   switch (code) {
     case ResultCode::kNotAllowed:
@@ -104,19 +104,20 @@
 
 http::Response AnswerRequests(std::string_view path,
                               const OperationsHooks& hooks) {
-  const Result<std::optional<RequestId>> asked =
+  const Result<std::optional<RequestId>> requested =
       operations::RequestOfPath(path);
-  if (!asked.ok()) {
-    return ErrorAnswer(asked.error());
+  if (!requested.ok()) {
+    return ErrorAnswer(requested.error());
   }
   operations::AgentRequests page{.endpoint = hooks.status().endpoint,
                                  .attempts = hooks.holdings()};
-  if (asked->has_value()) {
+  if (requested->has_value()) {
     std::erase_if(page.attempts, [&](const agent::HeldAttempt& held) {
-      return held.attempt.request != **asked;
+      return held.attempt.request != **requested;
     });
     if (page.attempts.empty()) {
-      return ErrorAnswer(Error(ResultCode::kUnknownRequest, ToString(**asked)));
+      return ErrorAnswer(
+          Error(ResultCode::kUnknownRequest, ToString(**requested)));
     }
   }
   return Answer(200, "application/json", operations::RenderRequestsPage(page));
--- a/src/agent_process/internal/operations_pages.h
+++ b/src/agent_process/internal/operations_pages.h
@@ -12,19 +12,20 @@
 
 namespace acacialug::agent_process {
 
-// Asked for only by the paths that need them.
+// Each hook is called only for the paths that need it.
 struct OperationsHooks {
   std::function<AgentStatus()> status;
   std::function<metrics::Snapshot()> histograms;
   std::function<std::vector<agent::HeldAttempt>()> holdings;
   operations::DrainRules drain_rules;
-  // Makes the process leave, after the answer that says so was sent.
+  // Drains the process once the answer that confirms it has been sent.
   std::function<void()> drain;
 };
 
 // Answers a request on the operations port: /healthz, /readyz, /metrics
 // (Prometheus text), /metrics.json, /status, /requests, /requests/ID and, by
-// POST, /drain. Thread: that of the hooks.
+// POST, /drain. Runs on the thread
+// of the hooks.
 http::Response AnswerOperations(const http::Request& request,
                                 const OperationsHooks& hooks);
 
--- a/src/agent_process/internal/permitted_engine.cc
+++ b/src/agent_process/internal/permitted_engine.cc
@@ -30,8 +30,8 @@
     this->options.engine->Execute(order);
     return;
   }
-  if (std::exchange(this->asking, true)) {
-    return;  // the answer to the first one tells
+  if (std::exchange(this->permit_requested, true)) {
+    return;  // the answer to the first order covers this one
   }
   this->options.store->Acquire(
       this->options.endpoint,
@@ -40,7 +40,7 @@
         if (weak.expired()) {
           return;
         }
-        this->asking = false;
+        this->permit_requested = false;
         if (permit.ok()) {
           this->ordered = false;
           this->permit_ends = this->options.now() + *permit;
--- a/src/agent_process/internal/session_table.cc
+++ b/src/agent_process/internal/session_table.cc
@@ -13,13 +13,13 @@
 
 constexpr std::chrono::seconds kRetireAfter{3};
 
-// A peer that sends nothing but garbage must not fill the log.
+// Keeps a peer that sends only invalid messages from filling the log.
 log::RepeatLimiter& Limiter() {
   static log::RepeatLimiter limiter({});
   return limiter;
 }
 
-// What goes in place of an answer that no frame can hold. The call did run.
+// Replaces an answer that is too large for a frame. The call did run.
 std::optional<protocol::AgentToEntry> TooLargeFailure(
     const protocol::AgentToEntry& message) {
   const auto* answered = std::get_if<protocol::CallAnswered>(&message);
--- a/src/agent_process/internal/settings_reader.cc
+++ b/src/agent_process/internal/settings_reader.cc
@@ -12,7 +12,7 @@
       key, {.parse = http::ParseAddress, .expected = "IP:PORT"});
 }
 
-// An empty text stands for "not set", as in the shipped examples.
+// An empty text means "not set", as in the shipped examples.
 std::string ReadPath(const Table& table, std::string_view key) {
   return table.String(key, {.fallback = "", .minimum_bytes = 0});
 }
@@ -24,9 +24,9 @@
   into.operations_listen = ReadAddress(table, "operations_listen");
 }
 
-// Whoever reaches the operations port may read it; to drain by it is another
-// matter. On a loopback address only this host's processes reach it; on any
-// other one it would let anybody on the network take the hosts out one by one.
+// Every client that reaches the operations port may read it, but draining needs
+// more care. Only this host's processes reach a loopback address; on any other
+// address every client on the network could drain the hosts one by one.
 void ReadOperations(const Table& table, AgentSettings& into) {
   into.allow_drain =
       table.Bool("allow_drain",
--- a/src/agent_process/manifest_file.h
+++ b/src/agent_process/manifest_file.h
@@ -9,7 +9,7 @@
 
 namespace acacialug::agent_process {
 
-// The manifest of a file. Errors: kSettingsUnreadable, and those of
+// Reads the manifest from a file. Errors: kSettingsUnreadable, and those of
 // manifest::ParseManifest. Thread safe.
 Result<std::shared_ptr<const manifest::Manifest>> ReadManifestFile(
     const std::string& path);
--- a/src/agent_process/manifest_options.h
+++ b/src/agent_process/manifest_options.h
@@ -9,18 +9,18 @@
 
 namespace acacialug::agent_process {
 
-// The settings with what the manifest's record of this endpoint and its
-// service add: role, slots, memory, link. Errors: kManifestInvalid when the
-// manifest has no such endpoint, or places it in another failure domain, or
-// its role and the kind of engine don't go together. Thread safe.
+// Returns the settings completed from the manifest's records of this endpoint
+// and its service: role, slots, memory, link. Errors: kManifestInvalid when the
+// manifest has no such endpoint, puts it in another failure domain, or gives it
+// a role that doesn't match the kind of engine. Thread safe.
 Result<AgentSettings> WithManifest(AgentSettings agent_settings,
                                    const manifest::Manifest& manifest);
 
-// What an agent needs of a manifest: its own endpoint's record, if there is
-// one, its service, and the names of those in its pool. Endpoints of the whole
-// installation take many times the memory of everything else in an agent.
-// Thread safe.
-std::shared_ptr<const manifest::Manifest> OwnPartOf(
+// Returns the part of a manifest that an agent needs: its own endpoint's
+// record, if there is one, its service, and the names of the endpoints in its
+// pool. The endpoints of the whole installation would take many times the
+// memory of everything else in an agent. Thread safe.
+std::shared_ptr<const manifest::Manifest> ManifestForEndpoint(
     const manifest::Manifest& manifest,
     const EndpointId& endpoint);
 
--- a/src/agent_process/metric_definitions.h
+++ b/src/agent_process/metric_definitions.h
@@ -3,8 +3,8 @@
 
 #include "framework/metrics/types/definition.h"
 
-// The histograms of an agent process, for it and for those that read them.
-// Its counters and gauges stand in internal/status_metrics.cc.
+// The histograms of an agent process, shared with the programs that read them.
+// Its counters and gauges are defined in internal/status_metrics.cc.
 namespace acacialug::agent_process {
 
 inline constexpr metrics::HistogramDefinition kEnginePrefillSeconds = {
--- a/src/agent_process/permitted_engine.h
+++ b/src/agent_process/permitted_engine.h
@@ -11,14 +11,14 @@
 
 namespace acacialug::agent_process {
 
-// An engine whose orders wait for a permit of the weight store: a new version
-// makes every agent order at once, and a store of limited rate would starve
-// all of their loads. An order without a permit is answered kOverloaded, also
-// when the permit came meanwhile: whoever ordered looks again at what is
-// wanted before it orders again, so an order never waits here and grows old.
-// The permit is given back when the engine is read as loading no more, or
-// ends by its own lease. Everything else passes through. One thread, that of
-// the engine and the store.
+// An engine whose orders need a permit of the weight store: a new version makes
+// every agent order at once, and a store of limited rate would starve all of
+// their loads. An order without a permit is answered kOverloaded, even when a
+// permit has been acquired meanwhile: the sender of the order checks again what
+// is wanted before it repeats the order, so an order never waits here until it
+// is stale. The permit is released when the engine reports that it is no longer
+// loading, or it ends with its lease. All other commands and events pass
+// through. Runs on the one thread of the engine and the store.
 class PermittedEngine : public engine::IEngine {
  public:
   struct Options {
@@ -40,10 +40,10 @@
 
   Options options;
   std::function<void(const engine::EngineEvent&)> on_event;
-  Instant permit_ends{};  // not held at or after
-  bool asking = false;
-  bool ordered = false;  // under the permit that is held
-  // Answers that come after this object's end are dropped.
+  Instant permit_ends{};  // the permit isn't held from this instant on
+  bool permit_requested = false;
+  bool ordered = false;  // an order was sent under the held permit
+  // Answers that arrive after this object's destruction are dropped.
   std::shared_ptr<const bool> alive = std::make_shared<const bool>(true);
 };
 
--- a/src/agent_process/settings_reader.h
+++ b/src/agent_process/settings_reader.h
@@ -8,8 +8,8 @@
 
 namespace acacialug::agent_process {
 
-// Reads the settings (docs/SETTINGS.md) into `settings`; no problems means
-// good, and only then are the settings to be used. Thread safe.
+// Reads the settings (docs/SETTINGS.md) into `agent_settings`. The settings are
+// valid only when the list of problems is empty. Thread safe.
 std::vector<settings::Problem> ReadAgentSettings(settings::Reader reader,
                                                  AgentSettings& agent_settings);
 
--- a/src/agent_process/tests/agent_process_test.cc
+++ b/src/agent_process/tests/agent_process_test.cc
@@ -27,22 +27,22 @@
     .authority_file =
         ACACIALUG_SOURCE_DIR "/src/framework/http/tests/data/authority.pem"};
 
-// Holds nothing, keeps what it is told, and answers by the test's hand.
+// Holds nothing, keeps its commands, and sends the events of the test.
 class FakeEngine : public engine::IEngine {
  public:
   std::vector<engine::EngineCommand> commands;
-  std::function<void(const engine::EngineEvent&)> tell;
+  std::function<void(const engine::EngineEvent&)> send_event;
 
   void Execute(const engine::EngineCommand& command) override {
     this->commands.push_back(command);
     if (std::holds_alternative<engine::ListHeld>(command)) {
       QTimer::singleShot(0, &this->context,
-                         [this] { this->tell(engine::Held{}); });
+                         [this] { this->send_event(engine::Held{}); });
     }
   }
   void SetOnEvent(
       std::function<void(const engine::EngineEvent&)> on_event) override {
-    this->tell = std::move(on_event);
+    this->send_event = std::move(on_event);
   }
   template <typename T>
   bool Got() const {
@@ -69,7 +69,7 @@
 struct Fixture {
   FakeEngine* engine = nullptr;
   bool drained = false;
-  LogOffset heard;
+  LogOffset newest;
   std::unique_ptr<AgentProcess> process;
 
   explicit Fixture(const http::TlsFiles& tls = {}, std::uint16_t port = 0) {
@@ -88,7 +88,8 @@
               this->engine = made.get();
               return made;
             },
-        .on_manifest_heard = [this](LogOffset offset) { this->heard = offset; },
+        .on_manifest_heard =
+            [this](LogOffset offset) { this->newest = offset; },
         .on_drained = [this] { this->drained = true; }});
     CPPUNIT_ASSERT(this->process->Start().ok());
   }
@@ -99,7 +100,7 @@
   }
 };
 
-// An entry's side of one connection.
+// The entry's side of one connection.
 struct Peer {
   net::FrameChannelPtr channel;
   std::vector<protocol::AgentToEntry> received;
@@ -137,7 +138,7 @@
     });
     return *found;
   }
-  // A stream that the engine has been told to start.
+  // Starts a stream and waits until the engine has its command.
   void StartStream(const Fixture& fixture) const {
     this->Await<protocol::Welcome>();
     this->Send(protocol::Reserve{
@@ -153,9 +154,9 @@
 };
 
 void EndStream(const Fixture& fixture) {
-  fixture.engine->tell(
+  fixture.engine->send_event(
       engine::Text{.attempt = kAttempt, .text = " a", .tokens = 1});
-  fixture.engine->tell(engine::StreamDone{.attempt = kAttempt});
+  fixture.engine->send_event(engine::StreamDone{.attempt = kAttempt});
 }
 
 const testing::Story kProcess(
@@ -179,10 +180,10 @@
                                   ResultCode::kManifestInvalid);
                    fixture.Serve();
                  }),
-              // Symptom: an agent's process and operations port were there, and
-              // no entry ever reached it. Sequence: its port was still taken
-              // when its first manifest came; it said so in its log, and the
-              // next manifest was not due. Cause: only a manifest made it try.
+              // Guards against an agent whose process and operations port are
+              // up while no entry can reach it: its port is in use when its
+              // first manifest arrives, the failure is logged, and only a
+              // further manifest makes the agent try again.
               It("listens when its port is free again, without a further one",
                  [] {
                    QTcpServer owner;
@@ -217,13 +218,13 @@
                          SequenceNumber(1));
           CPPUNIT_ASSERT(fixture.process->status().held_attempts.empty());
         }),
-     It("tells of a newer manifest that an entry spoke of",
+     It("reports a newer manifest that an entry names",
         [] {
           Fixture fixture;
           fixture.Serve();
           const Peer peer(fixture);
           peer.Await<protocol::Welcome>();
-          CPPUNIT_ASSERT(fixture.heard == LogOffset(9));
+          CPPUNIT_ASSERT(fixture.newest == LogOffset(9));
         }),
      It("ends the connection that sends garbage, and no other",
         [] {
@@ -239,7 +240,7 @@
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
                                fixture.process->status().counters.bad_frames);
         }),
-     It("answers heartbeats, and drops what is none",
+     It("answers heartbeats, and drops invalid datagrams",
         [] {
           Fixture fixture;
           fixture.Serve();
@@ -270,7 +271,7 @@
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, answers.front().renewed);
           CPPUNIT_ASSERT(answers.front().agent ==
                          fixture.process->status().incarnation);
-          CPPUNIT_ASSERT(fixture.heard == LogOffset(12));
+          CPPUNIT_ASSERT(fixture.newest == LogOffset(12));
           const AgentStatus status = fixture.process->status();
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, status.counters.bad_datagrams);
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
@@ -287,7 +288,7 @@
                     [&] { return fixture.engine->Got<engine::Abort>(); });
           CPPUNIT_ASSERT(fixture.process->status().held_attempts.empty());
         }),
-     It("tells operators what a stream holds, and for how long",
+     It("shows operators what a stream holds, and for how long",
         [] {
           Fixture fixture;
           fixture.Serve();
@@ -301,7 +302,7 @@
         }),
      Section(
          "that leaves",
-         {It("does so when the operations port is asked to, and answers first",
+         {It("does so on a request to the operations port, and answers first",
              [] {
                Fixture fixture;
                http::Client client({});
@@ -359,7 +360,7 @@
           fixture.Serve();
           const Peer plain(fixture);
           const Peer peer(fixture, kTls);
-          // A datagram would not show who sent it.
+          // A datagram would not authenticate its sender.
           CPPUNIT_ASSERT(peer.Await<protocol::Welcome>().heartbeat_port == 0);
           WaitUntil("closed", [&] { return plain.closed; });
           CPPUNIT_ASSERT(plain.received.empty());
@@ -367,7 +368,7 @@
           const Peer later(fixture, kTls);
           later.Await<protocol::Welcome>();
         }),
-     It("does not start on a port that is taken", [] {
+     It("does not start on a port that is in use", [] {
        const Fixture first;
        AgentSettings settings;
        settings.operations_listen = {.ip = "127.0.0.1",
--- a/src/agent_process/tests/engine_timings_test.cc
+++ b/src/agent_process/tests/engine_timings_test.cc
@@ -13,7 +13,7 @@
 const AttemptId kAttempt{.request = {.high = 1}};
 constexpr Instant kStart{1h};
 
-// What is told to the timings, each 10 ms after the one before.
+// The inputs of the timings, each 10 ms after the one before.
 using Step = std::variant<engine::EngineCommand, engine::EngineEvent>;
 
 struct Row {
--- a/src/agent_process/tests/permitted_engine_test.cc
+++ b/src/agent_process/tests/permitted_engine_test.cc
@@ -12,7 +12,7 @@
 struct FakeEngine : engine::IEngine {
   int orders = 0;
   int others = 0;
-  std::function<void(const engine::EngineEvent&)> tell;
+  std::function<void(const engine::EngineEvent&)> send_event;
 
   void Execute(const engine::EngineCommand& command) override {
     ++(std::holds_alternative<engine::Order>(command) ? this->orders
@@ -20,7 +20,7 @@
   }
   void SetOnEvent(
       std::function<void(const engine::EngineEvent&)> hook) override {
-    this->tell = std::move(hook);
+    this->send_event = std::move(hook);
   }
 };
 
@@ -44,7 +44,7 @@
   FakeEngine* engine = nullptr;
   FakeStore* store = nullptr;
   Instant now{1s};
-  std::vector<ResultCode> answers;  // to orders
+  std::vector<ResultCode> answers;  // to the orders
   std::unique_ptr<PermittedEngine> permitted;
 
   Bench() {
@@ -65,13 +65,13 @@
   }
   void Order() { this->permitted->Execute(engine::Order{}); }
   void TellLoading(bool loading) {
-    this->engine->tell(engine::EngineState{.loading = loading});
+    this->engine->send_event(engine::EngineState{.loading = loading});
   }
 };
 
 const testing::Story kPermits(
     "an order",
-    {It("waits for a permit, and is looked at again before it is given",
+    {It("waits for a permit, and is checked again before it is executed",
         [] {
           Bench bench;
           bench.Order();
@@ -89,10 +89,10 @@
           bench.TellLoading(false);
           CPPUNIT_ASSERT_EQUAL(1, bench.store->released);
         }),
-     // Symptom: an agent loaded while others held all permits.
-     // Sequence: its permit's lease ended during a pause of the process.
-     // Cause: the permit was taken as held until given back.
-     It("needs a new permit when the lease of the old one is over",
+     // Guards against an agent that loads while others hold all permits: the
+     // lease of its permit ends while the process is stalled, and the permit
+     // counts as held until it is released.
+     It("needs a new permit when the lease of the old one has ended",
         [] {
           Bench bench;
           bench.Order();
@@ -102,15 +102,17 @@
           CPPUNIT_ASSERT_EQUAL(0, bench.engine->orders);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, bench.store->waiting.size());
         }),
-     It("is refused by the store's own code; all else passes through", [] {
-       Bench bench;
-       bench.Order();
-       bench.store->Answer(Error(ResultCode::kPlatformUnavailable));
-       CPPUNIT_ASSERT(std::vector<ResultCode>{
-                          ResultCode::kPlatformUnavailable} == bench.answers);
-       bench.permitted->Execute(engine::ListHeld{});
-       CPPUNIT_ASSERT_EQUAL(1, bench.engine->others);
-     })});
+     It("is refused with the store's own code; other commands pass through",
+        [] {
+          Bench bench;
+          bench.Order();
+          bench.store->Answer(Error(ResultCode::kPlatformUnavailable));
+          CPPUNIT_ASSERT(
+              std::vector<ResultCode>{ResultCode::kPlatformUnavailable} ==
+              bench.answers);
+          bench.permitted->Execute(engine::ListHeld{});
+          CPPUNIT_ASSERT_EQUAL(1, bench.engine->others);
+        })});
 
 }  // namespace
 }  // namespace acacialug::agent_process
--- a/src/agent_process/tests/session_table_test.cc
+++ b/src/agent_process/tests/session_table_test.cc
@@ -10,7 +10,7 @@
 
 using testing::It;
 
-// A channel that records what it is told, and closes or refuses on demand.
+// A channel that records its calls, and closes or refuses on demand.
 class FakeChannel : public net::FrameChannel {
  public:
   Hooks hooks;
@@ -61,7 +61,7 @@
                          (std::vector<std::string>{"opened", "message"}));
           CPPUNIT_ASSERT(fixture.table.List()[0].entry == EntryId("e"));
         }),
-     It("end only the connection that sent what is no message",
+     It("end only the connection that sent an invalid message",
         [] {
           Fixture fixture;
           const auto other = std::make_shared<FakeChannel>();
@@ -72,7 +72,7 @@
           CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fixture.counters.bad_frames);
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.table.List().size());
         }),
-     It("are told once of a connection that is gone",
+     It("report a lost connection once",
         [] {
           Fixture fixture;
           const auto on_closed = fixture.channel->hooks.on_closed;
@@ -91,9 +91,9 @@
           CPPUNIT_ASSERT(!fixture.channel->open());
           CPPUNIT_ASSERT(fixture.calls == std::vector<std::string>{"opened"});
         }),
-     It("get a failure in place of an answer that no frame holds", [] {
-       // Symptom: a call whose answer never comes. Sequence: a service answers
-       // with more than a frame may hold. Cause: the frame was dropped.
+     It("send a failure in place of an answer too large for a frame", [] {
+       // Guards against a call whose answer never arrives: a service answers
+       // with more than a frame may hold, and the frame is dropped.
        Fixture fixture;
        fixture.table.Send(
            fixture.session,
--- a/src/agent_process/tests/settings_test.cc
+++ b/src/agent_process/tests/settings_test.cc
@@ -160,12 +160,13 @@
           many.offset = LogOffset(5);
           many.endpoints.push_back({.id = EndpointId("d2")});
           many.services.push_back({.name = ServiceName("other")});
-          const auto part = OwnPartOf(many, EndpointId("d1"));
+          const auto part = ManifestForEndpoint(many, EndpointId("d1"));
           CPPUNIT_ASSERT(part->offset == LogOffset(5));
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, part->endpoints.size());
           CPPUNIT_ASSERT(part->endpoints[0].id == EndpointId("d1"));
           CPPUNIT_ASSERT_EQUAL(std::size_t{1}, part->services.size());
-          CPPUNIT_ASSERT(OwnPartOf(many, EndpointId("d3"))->endpoints.empty());
+          CPPUNIT_ASSERT(
+              ManifestForEndpoint(many, EndpointId("d3"))->endpoints.empty());
         }),
      ForEach<MismatchRow>(
          "are refused when the manifest",
--- a/src/agent_process/types/agent_settings.h
+++ b/src/agent_process/types/agent_settings.h
@@ -12,20 +12,20 @@
 
 namespace acacialug::agent_process {
 
-// What an agent's settings file says. Role, slots and memory are not here:
-// they stand in the manifest's record of the endpoint.
+// The contents of an agent's settings file. Role, slots and memory come from
+// the manifest's record of the endpoint instead.
 struct AgentSettings {
   http::Address listen;             // for entries
   http::Address operations_listen;  // for operators and probes
-  bool allow_drain = false;         // whether POST /drain there is followed
-  std::string manifest_file;        // empty: from the platform's log
+  bool allow_drain = false;         // accepts POST /drain on that port
+  std::string manifest_file;        // empty: the platform's log is used
   std::optional<http::Address> platform_log;
-  std::optional<http::Address> platform_weights;  // loads wait for permits
+  std::optional<http::Address> platform_weights;  // loads need permits
   std::vector<http::Address> peers;               // operations ports of entries
   http::TlsFiles peer_tls;
   log::Level log_level = log::Level::kInfo;
   engine::EngineOptions engine;
-  // Identity and policy; the rest comes by WithManifest.
+  // Identity and policy; WithManifest fills in the rest.
   agent::AgentOptions agent;
 };
 
--- a/src/agent_process/types/agent_status.h
+++ b/src/agent_process/types/agent_status.h
@@ -12,7 +12,7 @@
 
 namespace acacialug::agent_process {
 
-// What the process around the core has counted since its start.
+// Counters of the process around the core since its start.
 struct ProcessCounters {
   std::uint64_t sessions_opened = 0;
   std::uint64_t sessions_closed = 0;
@@ -20,10 +20,11 @@
   std::uint64_t frames_sent = 0;
   std::uint64_t bad_frames = 0;
   std::uint64_t bad_datagrams = 0;
-  std::uint64_t heartbeat_bytes_received = 0;  // with headers
+  std::uint64_t heartbeat_bytes_received = 0;  // including headers
   std::uint64_t heartbeat_bytes_sent = 0;
-  std::uint64_t heartbeat_over_budget = 0;  // times that it began
-  std::uint64_t frames_not_sent = 0;  // no such session, or it was closing
+  // How often the traffic changed from within the budget to above it.
+  std::uint64_t heartbeat_over_budget = 0;
+  std::uint64_t frames_not_sent = 0;  // the session was unknown or closing
   std::uint64_t frames_too_large = 0;
   std::uint64_t engine_events = 0;
   std::uint64_t engine_failures = 0;
@@ -35,21 +36,21 @@
 
 struct SessionStatus {
   agent::SessionId session;
-  EntryId entry;  // empty until its Hello came
+  EntryId entry;  // empty until its Hello is received
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
   std::uint64_t unsent_bytes = 0;
 };
 
-// What /status and /metrics show.
+// The data that /status and /metrics show.
 struct AgentStatus {
   EndpointId endpoint;
   Incarnation incarnation;
   protocol::EndpointRole role = protocol::EndpointRole::kPlain;
   LogOffset manifest_offset;
   std::string manifest_version;
-  bool configuration_known = false;  // in force, and the newest known
-  bool engine_known = false;         // the engine has told what it holds
+  bool configuration_known = false;  // manifest active and the newest
+  bool engine_known = false;         // the engine has listed what it holds
   bool draining = false;
   protocol::EndpointLoad load;
   agent::OrderStatus orders;
