--- a/src/service_levels/digest_codec.h
+++ b/src/service_levels/digest_codec.h
@@ -15,10 +15,10 @@
 // The path on an entry's operations port that shows its LevelPage.
 inline constexpr char kLevelPagePath[] = "/service-levels";
 
-// JSON, as docs/PROTOCOL.md tells. Thread safe, all four. Names of causes that
-// this program does not know are read as Cause::kOther, since programs of two
-// versions run side by side. Errors of the readers: kPlatformBadAnswer with
-// what is wrong; nothing of such a text is taken.
+// Encode and decode the JSON described in docs/PROTOCOL.md. All four functions
+// are thread safe. Unknown names of causes are read as Cause::kOther, since
+// programs of two versions run side by side. Errors of the decoders:
+// kPlatformBadAnswer with the problem; such a text is rejected as a whole.
 std::string EncodeDigest(const Digest& digest);
 Result<Digest> DecodeDigest(std::string_view payload);
 std::string EncodeLevelPage(const LevelPage& page);
--- a/src/service_levels/internal/digest_codec.cc
+++ b/src/service_levels/internal/digest_codec.cc
@@ -12,8 +12,8 @@
 using Json = nlohmann::json;
 using internal::JsonReader;
 
-constexpr std::size_t kMostSeries = 1024;
-constexpr std::size_t kMostWindows = 64;
+constexpr std::size_t kMaxSeries = 1024;
+constexpr std::size_t kMaxWindows = 64;
 constexpr std::uint64_t kVersion = 1;
 
 std::int64_t CountMilliseconds(Duration duration) {
@@ -22,7 +22,7 @@
 }
 
 std::string Dump(const Json& json) {
-  // Names come from other processes and may hold any bytes.
+  // Names come from other processes and may contain any bytes.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -71,8 +71,8 @@
     counts.AddCause(CauseFromName(name).value_or(Cause::kOther),
                     reader.Number(causes, name.c_str()), kAllCauses);
   }
-  // In the order of names, also where an unknown one became kOther: the same
-  // counts would differ from what is read of them when written again.
+  // Sorts by name, also where an unknown name became kOther: otherwise counts
+  // would differ from themselves after another encoding and decoding.
   std::sort(counts.causes.begin(), counts.causes.end(),
             [](const auto& left, const auto& right) {
               return CauseName(left.cause) < CauseName(right.cause);
@@ -88,7 +88,7 @@
     series.push_back(std::move(item));
   }
   return {{"sequence", window.sequence.value},
-          // A clock that was never set may stand at 1970.
+          // A clock that was never set may read 1970.
           {"start_ms",
            std::max<std::int64_t>(0, window.start.time_since_epoch().count())},
           {"length_ms", CountMilliseconds(window.length)},
@@ -102,7 +102,7 @@
           reader.Milliseconds(object, "start_ms"))),
       .length = reader.Milliseconds(object, "length_ms")};
   const Json& series = reader.List(object, "series");
-  if (series.size() > kMostSeries) {
+  if (series.size() > kMaxSeries) {
     reader.Fail("too many series");
   }
   for (const Json& item : series) {
@@ -126,9 +126,9 @@
 
 std::vector<LevelBin> ReadRing(JsonReader& reader,
                                const Json& ring,
-                               std::size_t most) {
+                               std::size_t max_items) {
   std::vector<LevelBin> bins;
-  if (!ring.is_array() || ring.size() > most) {
+  if (!ring.is_array() || ring.size() > max_items) {
     reader.Fail("expected a list of bins");
     return bins;
   }
@@ -185,11 +185,11 @@
 std::vector<Value> ReadList(JsonReader& reader,
                             const Json& object,
                             const char* key,
-                            std::size_t most,
+                            std::size_t max_items,
                             Read read) {
   std::vector<Value> values;
   const Json& list = reader.List(object, key);
-  if (list.size() > most) {
+  if (list.size() > max_items) {
     reader.Fail(std::string("too many \"") + key + "\"");
   }
   for (const Json& item : list) {
@@ -201,7 +201,7 @@
   return values;
 }
 
-// Whoever wrote a text of another version may mean other things by its names.
+// In a text of another version the same names may have other meanings.
 void CheckVersion(JsonReader& reader, const Json& object) {
   if (reader.Number(object, "format") != kVersion) {
     reader.Fail("another version of the format");
@@ -234,7 +234,7 @@
       .entry = EntryId(reader.Text(object, "entry")),
       .incarnation = Incarnation(reader.Number(object, "incarnation")),
       .missed = reader.Number(object, "missed"),
-      .windows = ReadList<DigestWindow>(reader, object, "windows", kMostWindows,
+      .windows = ReadList<DigestWindow>(reader, object, "windows", kMaxWindows,
                                         ReadWindow)};
   if (!reader.ok()) {
     return BadText(reader);
@@ -256,8 +256,8 @@
             {"missed_digests", page.missed_digests},
             {"pending_digests", page.pending_digests},
             {"covered_ms", CountMilliseconds(page.levels.covered)}});
-  // One series after another: a tree of all of them would take an entry many
-  // times the memory of its windows for as long as a report asks.
+  // Encodes the series one by one: a JSON tree of all series would take many
+  // times the memory of an entry's windows while a report queries it.
   text.back() = ',';
   text += R"("series":[)";
   for (const LiveSeries& series : page.levels.series) {
@@ -275,12 +275,12 @@
       .incarnation = Incarnation(reader.Number(object, "incarnation")),
       .manifest = LogOffset(reader.Number(object, "manifest")),
       .objectives = ReadList<Objective>(reader, object, "objectives",
-                                        kMostSeries, ReadObjective),
+                                        kMaxSeries, ReadObjective),
       .missed_digests = reader.Number(object, "missed_digests"),
       .pending_digests = reader.Number(object, "pending_digests"),
       .levels = {.covered = reader.Milliseconds(object, "covered_ms"),
                  .series = ReadList<LiveSeries>(reader, object, "series",
-                                                kMostSeries, ReadSeries)}};
+                                                kMaxSeries, ReadSeries)}};
   if (!reader.ok()) {
     return BadText(reader);
   }
--- a/src/service_levels/internal/digest_writer.cc
+++ b/src/service_levels/internal/digest_writer.cc
@@ -8,12 +8,13 @@
 namespace acacialug::service_levels {
 namespace {
 
-// 0.25 appends a second over all processes: a thousandth of what the log
-// takes, whatever the number of processes up to 900.
-constexpr Duration kIntervalOfEach = 4s;
-constexpr Duration kLeastInterval = 5min;
-constexpr Duration kMostInterval = 1h;
-// After a failure, and between the parts of a backlog, in intervals.
+// All processes together append 0.25 times a second, a thousandth of the log's
+// capacity, for any number of processes up to 900.
+constexpr Duration kIntervalPerEntry = 4s;
+constexpr Duration kMinInterval = 5min;
+constexpr Duration kMaxInterval = 1h;
+// Delays after a failure, and between the parts of a backlog, as shares of the
+// interval.
 constexpr double kRetryShare = 0.25;
 constexpr double kBacklogShare = 0.02;
 constexpr double kJitter = 0.1;
@@ -25,8 +26,8 @@
 }  // namespace
 
 Duration DigestInterval(std::uint32_t entries) {
-  return std::clamp<Duration>(kIntervalOfEach * entries, kLeastInterval,
-                              kMostInterval);
+  return std::clamp<Duration>(kIntervalPerEntry * entries, kMinInterval,
+                              kMaxInterval);
 }
 
 DigestWriter::DigestWriter(Options writer_options,
@@ -56,7 +57,7 @@
     return std::nullopt;
   }
   if (this->under_way) {
-    // Symptom without this: one answer that never comes ends all digests.
+    // Without this, a single answer that never arrives would stop all digests.
     this->OnAppended(this->last_ticket, false, now);
     return std::nullopt;
   }
@@ -66,9 +67,9 @@
 std::optional<DigestAppend> DigestWriter::Finish(Instant now, WallTime wall) {
   this->CloseWindow(now, wall);
   this->close_at = kNever;
-  const std::size_t most = this->options.max_windows_per_append;
+  const std::size_t max_windows = this->options.max_windows_per_append;
   const std::size_t count = this->waiting.size();
-  return this->Append(count > most ? count - most : 0, now);
+  return this->Append(count > max_windows ? count - max_windows : 0, now);
 }
 
 void DigestWriter::CloseWindow(Instant now, WallTime wall) {
@@ -112,17 +113,19 @@
   return append;
 }
 
-void DigestWriter::OnAppended(std::uint64_t ticket, bool taken, Instant now) {
+void DigestWriter::OnAppended(std::uint64_t ticket,
+                              bool accepted,
+                              Instant now) {
   if (!this->under_way || ticket != this->last_ticket) {
     return;
   }
   this->under_way = false;
-  while (taken && !this->waiting.empty() &&
+  while (accepted && !this->waiting.empty() &&
          this->waiting.front().sequence <= this->last_sent) {
     this->waiting.pop_front();
   }
   const Duration delay =
-      Share(this->options.interval, taken ? kBacklogShare : kRetryShare);
+      Share(this->options.interval, accepted ? kBacklogShare : kRetryShare);
   this->append_at =
       this->waiting.empty() ? kNever : now + this->Jittered(delay);
 }
--- a/src/service_levels/internal/json_reader.h
+++ b/src/service_levels/internal/json_reader.h
@@ -10,9 +10,9 @@
 
 namespace acacialug::service_levels::internal {
 
-// Reads typed values from a tree that another process wrote. The first value
-// that is missing or of another kind makes the whole text bad; what is read
-// after that means nothing. Not thread safe.
+// Reads typed values from a JSON tree that another process wrote. The first
+// value that is missing or has the wrong type makes the whole text invalid;
+// values read after that are meaningless. Not thread safe.
 class JsonReader {
  public:
   using Json = nlohmann::json;
@@ -21,15 +21,17 @@
   const std::string& error() const { return this->problem; }
   void Fail(const std::string& what);
 
-  // A member of an object; null, after a Fail, when there is none.
+  // Returns a member of an object; calls Fail and returns null when it is
+  // missing.
   const Json& Member(const Json& object, const char* key);
-  // The same, of the given kind.
+  // Like Member, for a member of the given type.
   const Json& List(const Json& object, const char* key);
   std::uint64_t Number(const Json& object, const char* key);
-  // Milliseconds, at most 100 years: sums of what is read stay in range.
+  // Reads milliseconds, at most 100 years, so that sums of the values stay in
+  // range.
   Duration Milliseconds(const Json& object, const char* key);
   std::string Text(const Json& object, const char* key);
-  // Between 0 and 1.
+  // Reads a number between 0 and 1.
   double Share(const Json& object, const char* key);
 
  private:
--- a/src/service_levels/internal/level_counts.cc
+++ b/src/service_levels/internal/level_counts.cc
@@ -5,7 +5,7 @@
 namespace acacialug::service_levels {
 namespace {
 
-// Parsed counts come from other hosts: a sum of two of them may be too large.
+// Parsed counts come from other hosts, so a sum of two of them may overflow.
 std::uint64_t Sum(std::uint64_t one, std::uint64_t other) {
   const std::uint64_t sum = one + other;
   return sum < one ? std::numeric_limits<std::uint64_t>::max() : sum;
--- a/src/service_levels/internal/level_fold.cc
+++ b/src/service_levels/internal/level_fold.cc
@@ -105,7 +105,7 @@
   if (logged.windows.empty()) {
     return;
   }
-  // Windows that it dropped itself are holes too; they count once, as missed.
+  // Windows that the process dropped are gaps too; they count once, as missed.
   const std::uint64_t numbers = logged.windows.rbegin()->first.value -
                                 logged.windows.begin()->first.value + 1;
   const std::uint64_t holes = numbers - logged.windows.size();
--- a/src/service_levels/internal/service_level_windows.cc
+++ b/src/service_levels/internal/service_level_windows.cc
@@ -19,13 +19,13 @@
 }
 
 ServiceLevelWindows::Rings& ServiceLevelWindows::Find(const SeriesKey& key) {
-  const auto found = this->rings_of.find(key);
-  if (found != this->rings_of.end()) {
+  const auto found = this->rings_by_series.find(key);
+  if (found != this->rings_by_series.end()) {
     return found->second;
   }
   const SeriesKey other{.kind = key.kind, .service = std::string(kOtherSeries)};
-  const bool full = this->rings_of.size() >= this->options.max_series;
-  Rings& rings = this->rings_of[full ? other : key];
+  const bool full = this->rings_by_series.size() >= this->options.max_series;
+  Rings& rings = this->rings_by_series[full ? other : key];
   for (std::size_t resolution = 0; resolution < rings.size(); ++resolution) {
     rings[resolution].bins.resize(kResolutions[resolution].bins);
   }
@@ -38,7 +38,8 @@
                                       Duration since_start) const {
   const auto size = static_cast<std::int64_t>(ring.bins.size());
   const std::int64_t bin = since_start / kResolutions[resolution].bin;
-  // A long silence skips many bins; more than the ring has need no visit.
+  // A long time without counts skips many bins; each bin of the ring is cleared
+  // at most once.
   for (std::int64_t skipped = std::max(ring.newest + 1, bin - size + 1);
        skipped <= bin; ++skipped) {
     ring.bins[skipped % size] = {};
@@ -70,7 +71,7 @@
 LiveLevels ServiceLevelWindows::Read(Instant now) const {
   const Duration since_start = now - this->started;
   LiveLevels levels{.covered = since_start};
-  for (const auto& [key, rings] : this->rings_of) {
+  for (const auto& [key, rings] : this->rings_by_series) {
     LiveSeries series{.key = key};
     for (std::size_t resolution = 0; resolution < rings.size(); ++resolution) {
       series.rings[resolution] =
--- a/src/service_levels/level_fold.h
+++ b/src/service_levels/level_fold.h
@@ -15,48 +15,51 @@
 
 namespace acacialug::service_levels {
 
-// One series of all processes together.
+// The sums of one series over all processes.
 struct SeriesSums {
   std::array<LevelCounts, kReportWindows.size()> windows;
-  // The newest bin first, of kResolutions[kTimelineResolution].
+  // The bins of kResolutions[kTimelineResolution], newest first.
   std::array<LevelCounts, kResolutions[kTimelineResolution].bins> timeline;
 };
 
-// What a report is made of, and what is known to be missing from it.
+// The data of a report, and the data that is known to be missing from it.
 struct LevelSummary {
   std::map<SeriesKey, SeriesSums> series;
   std::vector<Objective> objectives;  // of the newest manifest among processes
   LogOffset manifest;
   Duration covered{};                 // since the oldest data
-  std::size_t live_processes = 0;     // that showed their windows
-  std::size_t logged_processes = 0;   // known by their digests alone
-  std::uint64_t doubled_windows = 0;  // seen again, folded once
-  std::uint64_t missing_windows = 0;  // holes between the digests of a process
-  std::uint64_t missed_windows = 0;   // processes say: dropped, never logged
-  std::uint64_t future_windows = 0;   // labelled later than now: a wrong clock
+  std::size_t live_processes = 0;     // processes that returned their windows
+  std::size_t logged_processes = 0;   // processes known only by their digests
+  std::uint64_t doubled_windows = 0;  // duplicates; each window is counted once
+  // Gaps between the digests of a process, and windows above the bound.
+  std::uint64_t missing_windows = 0;
+  // Reported by the processes as dropped, never logged.
+  std::uint64_t missed_windows = 0;
+  // Labelled later than now, because of a wrong clock.
+  std::uint64_t future_windows = 0;
   std::uint64_t bad_records = 0;
 };
 
-// Adds up windows of many processes, each window once. No I/O and no clock;
-// not thread safe.
+// Sums the windows of many processes, counting each window once. No I/O and no
+// clock; not thread safe.
 class LevelFold {
  public:
-  // Holds at most so many windows; the rest counts as missing.
-  explicit LevelFold(std::size_t most_windows = 1'000'000)
-      : max_windows(most_windows) {}
+  // Holds at most `window_limit` windows; the rest counts as missing.
+  explicit LevelFold(std::size_t window_limit = 1'000'000)
+      : max_windows(window_limit) {}
 
-  // A process that answered. One that is asked twice counts once.
-  // Precondition: no record was added yet, since what the log has of a live
-  // process is in its windows already.
+  // Adds a process that answered. A process that is queried twice counts once.
+  // Precondition: no record was added yet, since a live process's windows
+  // already include its records in the log.
   void AddLive(const LevelPage& page);
 
-  // A record of the stream, in any order and any number of times. What is no
-  // digest is counted and left out.
+  // Adds a record of the stream. Records may come in any order and any number
+  // of times. A record that is not a digest is counted and skipped.
   void AddRecord(std::string_view payload);
 
-  // `now` by the reader's wall clock. A window of the log counts into those
-  // windows of the report in which its middle lies; one labelled later than
-  // now counts as new.
+  // `now` is the time of the reader's wall clock. A window of the log counts
+  // into the report windows that contain its midpoint; a window labelled later
+  // than now has an age of zero.
   LevelSummary Finish(WallTime now) const;
 
  private:
--- a/src/service_levels/service_level_windows.h
+++ b/src/service_levels/service_level_windows.h
@@ -14,14 +14,14 @@
 
 namespace acacialug::service_levels {
 
-// How one process kept its service levels, over windows from five minutes to
-// thirty days. No I/O and no clock. Memory is bounded: at most `max_series`
-// sets of labels and the one named `other`, and in each bin `max_causes`
-// causes and the one named so; docs/CAPACITY.md has the bytes.
+// The service levels of one process, over windows from five minutes to thirty
+// days. No I/O and no clock. Memory is bounded: at most `max_series` sets of
+// labels and those named `other`, and in each bin `max_causes` causes and
+// the cause `other`; docs/CAPACITY.md gives the size in bytes.
 //
-// Not thread safe. Bins are counted on the caller's monotonic clock: no step
-// of the wall clock moves, doubles or drops one. A `now` that goes backwards
-// counts into the newest bin.
+// Not thread safe. Bins follow the caller's monotonic clock, so a step of the
+// wall clock doesn't shift, duplicate or drop a bin. A `now` that goes
+// backwards counts into the newest bin.
 class ServiceLevelWindows {
  public:
   struct Options {
@@ -35,13 +35,13 @@
   // Adds to the bin of `now` in every ring.
   void Count(const SeriesKey& key, const LevelCounts& counts, Instant now);
 
-  // All bins that are not empty, by their age.
+  // Returns all bins that are not empty, with their ages.
   LiveLevels Read(Instant now) const;
 
-  std::size_t series() const { return this->rings_of.size(); }
+  std::size_t series() const { return this->rings_by_series.size(); }
 
  private:
-  // Bin `n` covers [n * bin, (n + 1) * bin) since the start, and stands at
+  // Bin `n` covers [n * bin, (n + 1) * bin) since the start, and has the index
   // n modulo the number of bins.
   struct Ring {
     std::vector<LevelCounts> bins;
@@ -60,7 +60,7 @@
 
   Options options;
   Instant started;
-  std::map<SeriesKey, Rings> rings_of;
+  std::map<SeriesKey, Rings> rings_by_series;
 };
 
 }  // namespace acacialug::service_levels
--- a/src/service_levels/tests/digest_test.cc
+++ b/src/service_levels/tests/digest_test.cc
@@ -18,10 +18,11 @@
 const WallTime kWall = WallTime(std::chrono::hours(24 * 365 * 50));
 const SeriesKey kDesk = {.service = "lm", .latency_class = "desk"};
 
-// What an append comes to.
-enum class Fate { kTaken, kRefused, kAnswerLost, kNeverAnswered };
+// The outcome of an append.
+enum class AppendOutcome { kAccepted, kRefused, kAnswerLost, kNeverAnswered };
 
-// One process and the log, on virtual time. A request ends each minute.
+// Simulates one process and the log in virtual time. One request ends per
+// minute.
 struct Process {
   explicit Process(std::uint64_t seed = 1)
       : random(seed),
@@ -31,29 +32,32 @@
                this->random,
                kStart) {}
 
-  void Run(Duration time, Fate fate) {
+  void Run(Duration time, AppendOutcome outcome) {
     for (const Instant end = this->now + time; this->now < end;
          this->now += 1min) {
       this->writer.Count(kDesk, {.total = 1, .good = 1});
       ++this->requests;
-      this->Handle(this->writer.OnTimer(this->now, this->Wall()), fate);
+      this->Handle(this->writer.OnTimer(this->now, this->Wall()), outcome);
     }
   }
 
   void Finish() {
-    this->Handle(this->writer.Finish(this->now, this->Wall()), Fate::kTaken);
+    this->Handle(this->writer.Finish(this->now, this->Wall()),
+                 AppendOutcome::kAccepted);
   }
 
-  void Handle(const std::optional<DigestAppend>& append, Fate fate) {
+  void Handle(const std::optional<DigestAppend>& append,
+              AppendOutcome outcome) {
     if (!append) {
       return;
     }
     ++this->appends;
-    if (fate != Fate::kRefused) {
+    if (outcome != AppendOutcome::kRefused) {
       this->log.push_back(EncodeDigest(append->digest));
     }
-    if (fate != Fate::kNeverAnswered) {
-      this->writer.OnAppended(append->ticket, fate == Fate::kTaken, this->now);
+    if (outcome != AppendOutcome::kNeverAnswered) {
+      this->writer.OnAppended(append->ticket,
+                              outcome == AppendOutcome::kAccepted, this->now);
     }
   }
 
@@ -89,9 +93,9 @@
              : found->second.windows[kBudgetWindow].total;
 }
 
-struct FateRow {
+struct OutcomeRow {
   std::string name;
-  Fate fate;
+  AppendOutcome outcome;
   bool doubles;
 };
 
@@ -108,31 +112,32 @@
 
 const testing::Story kWriter(
     "digests of a process's service levels",
-    {It("hold each request once, also what the process counted last",
+    {It("hold each request once, including the last ones of the process",
         [] {
           Process process;
-          process.Run(2h, Fate::kTaken);
+          process.Run(2h, AppendOutcome::kAccepted);
           process.Finish();
           const LevelSummary summary = process.Fold();
           CPPUNIT_ASSERT_EQUAL(process.requests, Total(summary));
           CPPUNIT_ASSERT(summary.missing_windows == 0);
           CPPUNIT_ASSERT(process.appends >= 20 && process.appends <= 30);
         }),
-     // Symptom: a report counts requests twice, or not at all. Sequence: the
-     // log takes a record and its answer is lost, or does not take it; the
-     // process appends again. Cause: an append's answer says less than what
-     // happened, so a window's number has to tell the repeat.
-     testing::ForEach<FateRow>(
+     // Guards against a report that counts requests twice, or not at all: the
+     // log accepts a record and its answer is lost, or the log doesn't accept
+     // it, and the process appends again. The answer of an append doesn't show
+     // which of the two happened, so the window's number has to identify a
+     // repeat.
+     testing::ForEach<OutcomeRow>(
          "count each request once although for half an hour the log",
-         {{"refused", Fate::kRefused, false},
-          {"lost its answers", Fate::kAnswerLost, true},
-          {"never answered", Fate::kNeverAnswered, true}},
-         [](const FateRow& row) { return row.name; },
-         [](const FateRow& row) {
+         {{"refused", AppendOutcome::kRefused, false},
+          {"lost its answers", AppendOutcome::kAnswerLost, true},
+          {"never answered", AppendOutcome::kNeverAnswered, true}},
+         [](const OutcomeRow& row) { return row.name; },
+         [](const OutcomeRow& row) {
            Process process;
-           process.Run(1h, Fate::kTaken);
-           process.Run(30min, row.fate);
-           process.Run(1h, Fate::kTaken);
+           process.Run(1h, AppendOutcome::kAccepted);
+           process.Run(30min, row.outcome);
+           process.Run(1h, AppendOutcome::kAccepted);
            process.Finish();
            const LevelSummary summary = process.Fold();
            CPPUNIT_ASSERT_EQUAL(process.requests, Total(summary));
@@ -140,15 +145,15 @@
            CPPUNIT_ASSERT(summary.missing_windows == 0);
            CPPUNIT_ASSERT(process.writer.missed() == 0);
          }),
-     // Symptom: entries grow while the log is out. Sequence: the log is out
-     // for a day. Cause: what waits for it has no bound.
-     It("wait in bounded number for a log that is out, and say what is missed",
+     // Guards against entries whose memory grows while the log is unavailable
+     // for a day, because the number of waiting windows has no bound.
+     It("wait in bounded number while the log is out, and count missed ones",
         [] {
           Process process;
-          process.Run(1h, Fate::kTaken);
-          process.Run(24h, Fate::kRefused);
+          process.Run(1h, AppendOutcome::kAccepted);
+          process.Run(24h, AppendOutcome::kRefused);
           CPPUNIT_ASSERT_EQUAL(std::size_t{12}, process.writer.pending());
-          process.Run(2h, Fate::kTaken);
+          process.Run(2h, AppendOutcome::kAccepted);
           process.Finish();
           const LevelSummary summary = process.Fold();
           CPPUNIT_ASSERT(summary.missed_windows > 200);
@@ -171,22 +176,22 @@
          [](const IntervalRow& row) {
            CPPUNIT_ASSERT(DigestInterval(row.entries) == row.interval);
          }),
-     It("of processes that start together are appended apart", [] {
+     It("of processes that start together are appended at different times", [] {
        std::vector<Instant> first;
        for (std::uint64_t seed = 0; seed < 40; ++seed) {
          RandomSource random(seed);
          first.push_back(
              DigestWriter({.interval = 5min}, random, kStart).next_timer());
        }
-       const auto [least, most] = std::ranges::minmax(first);
-       CPPUNIT_ASSERT(most - least > 4min);
+       const auto [earliest, latest] = std::ranges::minmax(first);
+       CPPUNIT_ASSERT(latest - earliest > 4min);
      })});
 
 const testing::Story kLog(
     "a log of digests",
     {testing::ForEach<LogRow>(
          "is folded",
-         {{"once when every record stands in it twice",
+         {{"once when it contains every record twice",
            [](Process& process) {
              const std::vector<std::string> once = process.log;
              process.log.insert(process.log.end(), once.begin(), once.end());
@@ -201,7 +206,7 @@
              CPPUNIT_ASSERT(Total(summary) == 120);
              CPPUNIT_ASSERT(summary.missing_windows == 0);
            }},
-          {"without the start that retention took",
+          {"without the start that retention removed",
            [](Process& process) {
              process.log.erase(process.log.begin(), process.log.begin() + 10);
            },
@@ -209,7 +214,7 @@
              CPPUNIT_ASSERT(Total(summary) > 0 && Total(summary) < 120);
              CPPUNIT_ASSERT(summary.covered < 2h);
            }},
-          {"with holes told",
+          {"with its gaps reported",
            [](Process& process) {
              process.log.erase(process.log.begin() + 5,
                                process.log.begin() + 8);
@@ -218,7 +223,7 @@
              CPPUNIT_ASSERT(Total(summary) < 120);
              CPPUNIT_ASSERT(summary.missing_windows == 3);
            }},
-          {"beside garbage",
+          {"despite invalid records",
            [](Process& process) {
              process.log.insert(process.log.begin(), "not json");
              process.log.insert(process.log.begin() + 3,
@@ -233,32 +238,33 @@
          [](const LogRow& row) { return row.name; },
          [](const LogRow& row) {
            Process process;
-           process.Run(2h, Fate::kTaken);
+           process.Run(2h, AppendOutcome::kAccepted);
            process.Finish();
            row.damage(process);
            row.check(process.Fold());
          }),
-     // Symptom: a host whose clock is set back counts an hour twice, or loses
-     // one. Sequence: the wall clock steps between two windows. Cause: windows
-     // named by wall time; here it is a label, and their number names them.
+     // Guards against a host that counts an hour twice, or loses an hour, when
+     // its wall clock steps between two windows: this happens when wall time
+     // identifies the windows. Here it is a label, and the number identifies
+     // them.
      It("counts everything once when a wall clock steps",
         [] {
           Process process;
-          process.Run(1h, Fate::kTaken);
+          process.Run(1h, AppendOutcome::kAccepted);
           process.wall_error = -1h;
-          process.Run(1h, Fate::kTaken);
+          process.Run(1h, AppendOutcome::kAccepted);
           process.wall_error = 2h;
-          process.Run(1h, Fate::kTaken);
+          process.Run(1h, AppendOutcome::kAccepted);
           process.Finish();
           const LevelSummary summary = process.Fold();
           CPPUNIT_ASSERT_EQUAL(process.requests, Total(summary));
           CPPUNIT_ASSERT(summary.doubled_windows == 0);
           CPPUNIT_ASSERT(summary.future_windows > 0);
         }),
-     It("adds nothing for a process that shows its windows itself",
+     It("adds nothing for a process that returns its windows itself",
         [] {
           Process process;
-          process.Run(1h, Fate::kTaken);
+          process.Run(1h, AppendOutcome::kAccepted);
           LevelFold fold;
           fold.AddLive(
               {.entry = EntryId("e-1"), .incarnation = Incarnation(1)});
@@ -271,10 +277,10 @@
      It("keeps an entry's earlier start apart from its later one",
         [] {
           Process earlier(1);
-          earlier.Run(1h, Fate::kTaken);
+          earlier.Run(1h, AppendOutcome::kAccepted);
           earlier.Finish();
           Process later(2);
-          later.Run(1h, Fate::kTaken);
+          later.Run(1h, AppendOutcome::kAccepted);
           later.Finish();
           later.log.insert(later.log.begin(), earlier.log.begin(),
                            earlier.log.end());
@@ -283,15 +289,16 @@
                                Total(summary));
           CPPUNIT_ASSERT(summary.logged_processes == 2);
         }),
-     It("that is too large is folded in part, and says so", [] {
-       Process process;
-       process.Run(2h, Fate::kTaken);
-       LevelFold fold(3);
-       for (const std::string& record : process.log) {
-         fold.AddRecord(record);
-       }
-       CPPUNIT_ASSERT(fold.Finish(kWall).missing_windows > 0);
-     })});
+     It("that is too large is folded in part, and counts the rest as missing",
+        [] {
+          Process process;
+          process.Run(2h, AppendOutcome::kAccepted);
+          LevelFold fold(3);
+          for (const std::string& record : process.log) {
+            fold.AddRecord(record);
+          }
+          CPPUNIT_ASSERT(fold.Finish(kWall).missing_windows > 0);
+        })});
 
 }  // namespace
 }  // namespace acacialug::service_levels
--- a/src/service_levels/tests/service_level_windows_test.cc
+++ b/src/service_levels/tests/service_level_windows_test.cc
@@ -33,7 +33,7 @@
           .levels = windows.Read(now)};
 }
 
-// What a report sees of the windows, by way of the page.
+// Returns the sums that a report shows, read from an encoded page.
 SeriesSums Sums(const ServiceLevelWindows& windows,
                 Instant now,
                 const SeriesKey& key = kDesk) {
@@ -72,7 +72,7 @@
              CPPUNIT_ASSERT_EQUAL(row.in[window], sums.windows[window].total);
            }
          }),
-     It("let a bin go when its place in the ring is used again",
+     It("drop a bin when its index in the ring is used again",
         [] {
           ServiceLevelWindows windows({}, kStart);
           windows.Count(kDesk, Good(100), kStart);
@@ -92,10 +92,10 @@
           CPPUNIT_ASSERT(counts.CountOf(Cause::kLateFirstToken) == 1);
           CPPUNIT_ASSERT(counts.CountOf(CauseOf(ResultCode::kOverloaded)) == 1);
         }),
-     // Symptom: an entry's memory grows until the host ends it. Sequence: a
-     // pipeline publishes a manifest every few seconds, for months, with
-     // classes named anew each time. Cause: no bound on sets of labels.
-     It("count what is beyond their number of label sets as other",
+     // Guards against an entry whose memory grows until the host ends it: a
+     // pipeline publishes a manifest every few seconds, for months, with new
+     // names of classes each time, and the number of label sets has no bound.
+     It("count label sets above the bound as other",
         [] {
           ServiceLevelWindows windows({.max_series = 2}, kStart);
           for (int name = 0; name < 50; ++name) {
@@ -108,7 +108,7 @@
               Sums(windows, kStart, {.service = "other"}).windows[0].total ==
               48);
         }),
-     It("count causes beyond their number as other",
+     It("count causes above the bound as other",
         [] {
           ServiceLevelWindows windows({.max_causes = 2}, kStart);
           for (const ResultCode code :
@@ -120,7 +120,7 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{3}, counts.causes.size());
           CPPUNIT_ASSERT(counts.CountOf(Cause::kOther) == 2);
         }),
-     It("stay whole when told of a time before the newest",
+     It("lose no count whose time is before the newest",
         [] {
           ServiceLevelWindows windows({}, kStart);
           windows.Count(kDesk, Good(1), kStart + 1h);
@@ -128,7 +128,7 @@
           windows.Count(kDesk, Good(1), kStart - 1h);
           CPPUNIT_ASSERT(Sums(windows, kStart + 1h).windows[0].total == 3);
         }),
-     It("of a process that is asked twice count once", [] {
+     It("of a process that is queried twice count once", [] {
        ServiceLevelWindows windows({}, kStart);
        windows.Count(kDesk, Good(1), kStart);
        LevelFold fold;
@@ -155,7 +155,7 @@
          {"when a count is negative", "\"total\":1", "\"total\":-1"},
          {"when a count is no number", "\"total\":1", "\"total\":\"1\""},
          {"with more good than in all", "\"good\":1", "\"good\":2"},
-         {"with an age beyond all sense", "\"age_ms\":0",
+         {"with an age out of range", "\"age_ms\":0",
           "\"age_ms\":18446744073709551615"},
          {"with an objective above 1", "\"objective\":0.9",
           "\"objective\":1.5"},
--- a/src/service_levels/types/digest.h
+++ b/src/service_levels/types/digest.h
@@ -13,27 +13,27 @@
 
 namespace acacialug::service_levels {
 
-// A wall clock's time. A label only: it says where a digest of another process
-// stands in a report, and decides nothing.
+// A time of the wall clock. It is only a label: it positions another process's
+// digest in a report, and no decision depends on it.
 using WallTime = std::chrono::time_point<std::chrono::system_clock,
                                          std::chrono::milliseconds>;
 
-// The n-th window that a process closed, from 0, without gaps. It names the
-// window; the wall clock does not.
+// The number of a window in the order in which its process closed them, from 0,
+// without gaps. This number, not the wall clock, identifies the window.
 using WindowSequence = Number<struct WindowSequenceTag>;
 
-// What one process counted in one closed window.
+// The counts of one process in one closed window.
 struct DigestWindow {
   WindowSequence sequence;
-  WallTime start;  // by the wall clock when the window was closed
+  WallTime start;  // from the wall clock at the window's close
   Duration length{};
   std::map<SeriesKey, LevelCounts> series;
 
   friend bool operator==(const DigestWindow&, const DigestWindow&) = default;
 };
 
-// One record of the stream. A window may stand in several records: an append
-// whose answer was lost is repeated.
+// One record of the stream. Several records may contain the same window,
+// because an append whose answer was lost is repeated.
 struct Digest {
   EntryId entry;
   Incarnation incarnation;
--- a/src/service_levels/types/level_counts.h
+++ b/src/service_levels/types/level_counts.h
@@ -15,8 +15,9 @@
 
 namespace acacialug::service_levels {
 
-// What a series counts. Requests: `total` ended, `good` within their targets.
-// Prefill: `total` tokens computed, `good` those that a completed answer used.
+// The unit that a series counts. Requests: `total` have ended, `good` of them
+// within their targets. Prefill: `total` tokens were computed, `good` of them
+// were used by a completed answer.
 enum class SeriesKind : std::uint8_t { kRequests, kPrefill };
 inline constexpr EnumNames<SeriesKind, 2> kSeriesKindNames = {{
     {SeriesKind::kRequests, "requests"},
@@ -32,15 +33,15 @@
   friend auto operator<=>(const SeriesKey&, const SeriesKey&) = default;
 };
 
-// Why something was missed or wasted: one of those named here, or the
-// ResultCode of the same number (those begin at 1001).
+// The cause of a missed target or of wasted work: a value named here, or the
+// ResultCode with the same number (result codes begin at 1001).
 enum class Cause : std::uint16_t {
-  kOther = 0,              // beyond a bound, or a newer program's cause
+  kOther = 0,              // above a bound, or a newer program's cause
   kLateFirstToken = 1,     // completed, outside the target
-  kLateTokenInterval = 2,  // the same; a request may miss both
-  kCallerGone = 3,         // prefill: its caller went away
-  kRepeated = 4,           // prefill: another one served the request
-  kLateResult = 5,         // prefill: its result came after the end
+  kLateTokenInterval = 2,  // completed, outside the target; may miss both
+  kCallerGone = 3,         // prefill: its caller disconnected
+  kRepeated = 4,           // prefill: another prefill served the request
+  kLateResult = 5,  // prefill: its result arrived after the request's end
 };
 inline constexpr EnumNames<Cause, 6> kCauseNames = {{
     {Cause::kOther, "other"},
@@ -55,7 +56,8 @@
   return static_cast<Cause>(static_cast<int>(code));
 }
 
-// The stable name, "unlisted" for a number outside both tables. Thread safe.
+// Returns the stable name, "unlisted" for a number outside both tables. Thread
+// safe.
 std::string_view CauseName(Cause cause);
 
 // The inverse of CauseName; empty for any other text. Thread safe.
@@ -71,14 +73,14 @@
 inline constexpr std::size_t kAllCauses =
     std::numeric_limits<std::size_t>::max();
 
-// Counts of one series over some time. Not thread safe, like any value.
+// Counts of one series over a period of time. Not thread safe.
 struct LevelCounts {
   std::uint64_t total = 0;
   std::uint64_t good = 0;
-  std::vector<CauseCount> causes;  // each once, in order of first use
+  std::vector<CauseCount> causes;  // one item per cause, in order of first use
 
-  // Adds to a cause; beyond `max_causes` distinct ones, to kOther. Sums stay
-  // at the greatest number rather than begin anew.
+  // Adds to the count of a cause, or of kOther once there are `max_causes`
+  // distinct causes. Sums saturate at the largest value instead of wrapping.
   void AddCause(Cause cause, std::uint64_t count, std::size_t max_causes);
   void Add(const LevelCounts& other, std::size_t max_causes = kAllCauses);
 
--- a/src/service_levels/types/live_levels.h
+++ b/src/service_levels/types/live_levels.h
@@ -12,13 +12,13 @@
 
 namespace acacialug::service_levels {
 
-// The labels under which everything beyond a bound is counted.
+// The service label of the series that counts all label sets above the bound.
 inline constexpr std::string_view kOtherSeries = "other";
 
-// One bin of a ring. Its age, not its instant, leaves the process: no two
-// hosts' clocks are compared.
+// One bin of a ring. The process exposes the bin's age instead of its instant,
+// so that the clocks of two hosts are never compared.
 struct LevelBin {
-  Duration age{};  // since the bin's begin
+  Duration age{};  // since the bin began
   LevelCounts counts;
 };
 
@@ -27,26 +27,26 @@
   std::array<std::vector<LevelBin>, kResolutions.size()> rings;
 };
 
-// The bins of one process, as they are now.
+// The current bins of one process.
 struct LiveLevels {
-  Duration covered{};  // since the process began to count
+  Duration covered{};  // since the process began counting
   std::vector<LiveSeries> series;
 };
 
-// What the manifest in force asks of a class.
+// The target that the active manifest sets for a latency class.
 struct Objective {
-  SeriesKey key;  // of requests
+  SeriesKey key;  // of kind kRequests
   double share = 0;
-  bool is_model = false;  // has a target for the token interval too
+  bool is_model = false;  // also has a target for the token interval
   Duration first_token{};
   Duration token_interval{};
 };
 
-// What a process shows to reports.
+// The service levels that a process exposes to reports.
 struct LevelPage {
   EntryId entry;
   Incarnation incarnation;
-  LogOffset manifest;  // 0 before the first one
+  LogOffset manifest;  // 0 before the first manifest
   std::vector<Objective> objectives;
   std::uint64_t missed_digests = 0;  // windows that never reached the log
   std::uint64_t pending_digests = 0;
--- a/src/service_levels/types/resolutions.h
+++ b/src/service_levels/types/resolutions.h
@@ -10,7 +10,8 @@
 namespace acacialug::service_levels {
 
 // One ring of bins. A sum over a ring's length is off by at most one bin, the
-// one that is still being filled: 1/30 of the shortest, less of the others.
+// bin that is still being filled: 1/30 of the shortest ring, and less of the
+// others.
 struct Resolution {
   Duration bin{};
   std::size_t bins = 0;
@@ -20,9 +21,9 @@
   }
 };
 
-// The lengths are those that alarms on several windows need (Google's SRE
-// workbook, chapter 5: 1 h with 5 min, 6 h with 30 min, 3 d with 6 h) and the
-// 30 days of the error budget. 30 min are the newer half of the second ring.
+// The lengths are those that multi-window alerts need (Google's SRE workbook,
+// chapter 5: 1 h with 5 min, 6 h with 30 min, 3 d with 6 h) and the 30 days of
+// the error budget. The 30 min window is the newer half of the second ring.
 inline constexpr std::array<Resolution, 5> kResolutions = {{
     {.bin = 10s, .bins = 30},      // 5 min
     {.bin = 1min, .bins = 60},     // 1 h
@@ -31,11 +32,11 @@
     {.bin = 6 * 1h, .bins = 120},  // 30 d
 }};
 
-// The windows that a report shows, and the ring that each is summed from.
+// A window that a report shows, and the ring that it is summed from.
 struct ReportWindow {
   std::string_view name;
   Duration length{};
-  std::size_t resolution = 0;  // of kResolutions
+  std::size_t resolution = 0;  // index into kResolutions
 };
 inline constexpr std::array<ReportWindow, 6> kReportWindows = {{
     {.name = "5m", .length = 5min, .resolution = 0},
@@ -45,8 +46,8 @@
     {.name = "3d", .length = 72 * 1h, .resolution = 3},
     {.name = "30d", .length = 720 * 1h, .resolution = 4},
 }};
-inline constexpr std::size_t kBudgetWindow = 5;  // of kReportWindows
-// The ring that plots over time are drawn from: 6 h.
+inline constexpr std::size_t kBudgetWindow = 5;  // index into kReportWindows
+// The ring that supplies the plots over time: 6 h. An index into kResolutions.
 inline constexpr std::size_t kTimelineResolution = 2;
 
 }  // namespace acacialug::service_levels
