--- a/src/operations/drain_request.h
+++ b/src/operations/drain_request.h
@@ -9,28 +9,30 @@
 
 namespace acacialug::operations {
 
-// Path of an operations port that makes its process leave, by POST.
+// Path on an operations port that drains its process, by POST.
 inline constexpr std::string_view kDrainPath = "/drain";
 
-// Who may make a process leave by its operations port.
+// The conditions under which a process accepts a drain by its operations port.
 struct DrainRules {
   bool allowed = false;
   std::string name;  // of the entry, or of the agent's endpoint
 };
 
-// Whether a POST to kDrainPath is to be followed. Its body, {"name": "..."},
-// must name the process: addresses are given to other hosts, and a list of
-// nodes that is a day old would drain whoever stands there now. Errors:
+// Checks whether to accept a request to kDrainPath. Its body, {"name": "..."},
+// must name the process: addresses are reassigned to other hosts, and a list of
+// nodes that is a day old would drain the process that has the address now.
+// Errors:
 // kMethodNotAllowed, kNotAllowed, kMalformedJson, kInvalidParameter. Thread
 // safe.
 Status CheckDrainRequest(const http::Request& request, const DrainRules& rules);
 
-// The body of the request, and of the answer that it is followed. Thread safe.
+// Return the body of the request, and of the answer that accepts it. Thread
+// safe.
 std::string RenderDrainRequest(const std::string& name);
 std::string RenderDrainAnswer(const std::string& name);
 
-// Whether only processes of this host can reach the address: the default of
-// who may drain. Thread safe.
+// Whether only processes of this host can reach the address. By default a drain
+// is allowed only then. Thread safe.
 bool IsLoopback(const http::Address& address);
 
 }  // namespace acacialug::operations
--- a/src/operations/internal/requests_page.cc
+++ b/src/operations/internal/requests_page.cc
@@ -10,8 +10,6 @@
 using trace::Step;
 using trace::Trace;
 
-// ---- writing ----
-
 Json StepJson(const Step& step) {
   Json json = {{"step", NameOf(trace::kStepKindNames, step.kind)},
                {"at_us", step.at.count()}};
@@ -80,8 +78,7 @@
   return {{"endpoint", page.endpoint.text}, {"attempts", std::move(attempts)}};
 }
 
-// ---- reading; each throws Json::exception or BadPage ----
-
+// The Read functions throw this or Json::exception.
 struct BadPage {
   std::string detail;
 };
@@ -212,10 +209,10 @@
     const Json json = Json::parse(text);
     return json.contains("entry") ? RequestsPage(ReadEntry(json))
                                   : RequestsPage(ReadAgent(json));
-  } catch (const Json::exception& fault) {
-    return Error(ResultCode::kNodeBadAnswer, fault.what());
-  } catch (const BadPage& fault) {
-    return Error(ResultCode::kNodeBadAnswer, fault.detail);
+  } catch (const Json::exception& error) {
+    return Error(ResultCode::kNodeBadAnswer, error.what());
+  } catch (const BadPage& error) {
+    return Error(ResultCode::kNodeBadAnswer, error.detail);
   }
 }
 
--- a/src/operations/requests_page.h
+++ b/src/operations/requests_page.h
@@ -10,16 +10,18 @@
 
 namespace acacialug::operations {
 
-// Path of an operations port: all requests; with "/ID" behind it, one.
+// Path on an operations port that shows all requests; with "/ID" appended, a
+// single request.
 inline constexpr std::string_view kRequestsPath = "/requests";
 
-// The request that a path below kRequestsPath names; empty for kRequestsPath
-// itself. Precondition: IsRequestsPath(path). Errors: kInvalidParameter for
-// what is no request id. Thread safe.
+// Returns the request that a path below kRequestsPath names; empty for
+// kRequestsPath itself. Precondition: IsRequestsPath(path). Errors:
+// kInvalidParameter for an invalid request id. Thread safe.
 Result<std::optional<RequestId>> RequestOfPath(std::string_view path);
 bool IsRequestsPath(std::string_view path);
 
-// As JSON, and back. Errors of reading: kNodeBadAnswer, with what is wrong.
+// Write and read the page as JSON. Errors of reading: kNodeBadAnswer, with the
+// problem.
 // Thread safe.
 std::string RenderRequestsPage(const RequestsPage& page);
 Result<RequestsPage> ParseRequestsPage(const std::string& text);
--- a/src/operations/tests/operations_test.cc
+++ b/src/operations/tests/operations_test.cc
@@ -78,17 +78,17 @@
         }),
      ForEach<BadRow>(
          "is refused by number when it is",
-         {{"no JSON", "<html>"},
+         {{"not JSON", "<html>"},
           {"empty", ""},
           {"another kind of JSON", "[1]"},
           {"without its rows", R"({"endpoint": "d-1"})"},
           {"with a row of another type",
            R"({"endpoint": "d-1", "attempts": [7]})"},
-          {"with a word that nobody knows",
+          {"with an unknown name",
            R"({"endpoint": "d-1", "attempts": [{"request":
               "00000000000000120000000000000007", "attempt": 1,
               "entry_incarnation": "1", "holds": "beer", "age_us": 1}]})"},
-          {"with a request that is no id",
+          {"with an invalid request id",
            R"({"endpoint": "d-1", "attempts": [{"request": "7", "attempt": 1,
               "entry_incarnation": "1", "holds": "call", "age_us": 1}]})"}},
          [](const BadRow& row) { return row.name; },
@@ -98,7 +98,7 @@
            CPPUNIT_ASSERT(read.error().result_code() ==
                           ResultCode::kNodeBadAnswer);
          }),
-     It("is asked for by an id of 32 digits, and by no other", [] {
+     It("is requested by an id of 32 digits, and by no other", [] {
        CPPUNIT_ASSERT(!IsRequestsPath("/requestsx"));
        CPPUNIT_ASSERT(!RequestOfPath("/requests")->has_value());
        CPPUNIT_ASSERT(
@@ -127,11 +127,11 @@
           {"where the settings do not allow it", "POST", false,
            R"({"name": "entry-1"})", ResultCode::kNotAllowed},
           {"without a name", "POST", true, "", ResultCode::kMalformedJson},
-          {"with a name that is no text", "POST", true, R"({"name": 1})",
+          {"with a name that is not a string", "POST", true, R"({"name": 1})",
            ResultCode::kMalformedJson},
-          // Symptom: an entry leaves that nobody wanted to leave. Sequence: its
-          // host got the address of one that was replaced; an old list of
-          // addresses is drained. Cause: only the address was checked.
+          // Guards against the drain of an entry that was not meant: its host
+          // has been assigned the address of a replaced host, an old list of
+          // addresses is drained, and only the address is checked.
           {"when it names another process", "POST", true,
            R"({"name": "entry-2"})", ResultCode::kInvalidParameter}},
          [](const DrainRow& row) { return row.name; },
@@ -142,7 +142,7 @@
            CPPUNIT_ASSERT(!checked.ok());
            CPPUNIT_ASSERT(checked.error().result_code() == row.code);
          }),
-     It("that names the process is followed where it is allowed",
+     It("that names the process is accepted where it is allowed",
         [] {
           CPPUNIT_ASSERT(
               CheckDrainRequest(
@@ -150,7 +150,7 @@
                   {.allowed = true, .name = "entry \"1\""})
                   .ok());
         }),
-     It("is allowed by itself on loopback addresses only", [] {
+     It("is allowed by default on loopback addresses only", [] {
        CPPUNIT_ASSERT(IsLoopback({.ip = "127.0.0.1"}));
        CPPUNIT_ASSERT(IsLoopback({.ip = "::1"}));
        for (const char* ip : {"0.0.0.0", "10.0.0.1", "::", ""}) {
--- a/src/operations/types/requests_page.h
+++ b/src/operations/types/requests_page.h
@@ -10,18 +10,18 @@
 
 namespace acacialug::operations {
 
-// What an entry tells of requests: of all alive ones their last step, or of
-// one request its whole trace.
+// An entry's page of requests: the last step of each request in progress, or
+// the whole trace of one request.
 struct EntryRequests {
   EntryId entry;
-  trace::TraceCounts counts;  // of all that the entry knows
+  trace::TraceCounts counts;  // over all requests that the entry knows
   std::vector<trace::Trace> requests;
 
   friend bool operator==(const EntryRequests&, const EntryRequests&) = default;
 };
 
-// What an agent tells: the attempts that hold something there, of all
-// requests or of one.
+// An agent's page of requests: the attempts that hold resources there, of all
+// requests or of a single request.
 struct AgentRequests {
   EndpointId endpoint;
   std::vector<agent::HeldAttempt> attempts;
