--- a/src/agent_process/agent_process.h
+++ b/src/agent_process/agent_process.h
@@ -22,10 +22,10 @@
       make_engine;
   // The platform's log, which holds the maintenance queue of a pool's
   // endpoints. Empty: there is no log, and orders don't wait for the queue.
-  std::function<std::unique_ptr<cluster::ILog>()> make_turns_log;
+  std::function<std::unique_ptr<cluster::ILog>()> make_maintenance_log;
   // Runs when an entry reports a manifest of this offset, newer than the active
   // one.
-  std::function<void(LogOffset)> on_manifest_heard;
+  std::function<void(LogOffset)> on_newer_manifest;
   // Runs when the agent loses its last session with an entry, or gets its first
   // one again; `alone`: no entry has a session.
   std::function<void(bool alone)> on_alone;
--- a/src/agent_process/internal/agent_runtime.cc
+++ b/src/agent_process/internal/agent_runtime.cc
@@ -37,8 +37,8 @@
       timings(registry),
       core(this->CoreOptions(), random),
       engine(process_options.make_engine(complete.engine)),
-      maintenance_log(process_options.make_turns_log
-                          ? process_options.make_turns_log()
+      maintenance_log(process_options.make_maintenance_log
+                          ? process_options.make_maintenance_log()
                           : nullptr),
       sessions(this->SessionHooks(), this->counters),
       frames(this->FrameOptions()),
@@ -162,7 +162,7 @@
   agent::AgentOptions core_options = this->settings.agent;
   core_options.incarnation = this->incarnation;
   core_options.use_maintenance_queue =
-      static_cast<bool>(this->options.make_turns_log);
+      static_cast<bool>(this->options.make_maintenance_log);
   return core_options;
 }
 
@@ -327,9 +327,9 @@
 
 void AgentRuntime::ReportNewerManifest() {
   const LogOffset newest = this->core.newest_reported_manifest();
-  if (newest != this->last_reported && this->options.on_manifest_heard) {
+  if (newest != this->last_reported && this->options.on_newer_manifest) {
     this->last_reported = newest;
-    this->options.on_manifest_heard(newest);
+    this->options.on_newer_manifest(newest);
   }
 }
 
--- a/src/agent_process/tests/agent_process_test.cc
+++ b/src/agent_process/tests/agent_process_test.cc
@@ -88,7 +88,7 @@
               this->engine = made.get();
               return made;
             },
-        .on_manifest_heard =
+        .on_newer_manifest =
             [this](LogOffset offset) { this->newest = offset; },
         .on_drained = [this] { this->drained = true; }});
     CPPUNIT_ASSERT(this->process->Start().ok());
--- a/src/app/agent/main.cc
+++ b/src/app/agent/main.cc
@@ -73,8 +73,8 @@
                 [this](const engine::EngineOptions& engine_options) {
                   return this->MakeEngine(engine_options);
                 },
-            .make_turns_log = this->MaintenanceLogFactory(),
-            .on_manifest_heard =
+            .make_maintenance_log = this->MaintenanceLogFactory(),
+            .on_newer_manifest =
                 [this](LogOffset offset) {
                   if (this->configuration) {
                     this->configuration->OnPeerOffset(offset);
