--- a/src/agent_process/internal/agent_process.cc
+++ b/src/agent_process/internal/agent_process.cc
@@ -102,12 +102,12 @@
   void RetryPending() {
     const std::shared_ptr<const manifest::Manifest> held =
         this->pending_manifest;
-    const Status taken = this->OnManifest(held);
-    if (!taken.ok()) {
+    const Status applied = this->OnManifest(held);
+    if (!applied.ok()) {
       log::Warning("listen_failed",
                    {.endpoint = this->options.settings.agent.endpoint,
-                    .code = taken.error().result_code(),
-                    .fields = {{"detail", taken.error().detail}}});
+                    .code = applied.error().result_code(),
+                    .fields = {{"detail", applied.error().detail}}});
     }
   }
 
--- a/src/agent_process/tests/agent_process_test.cc
+++ b/src/agent_process/tests/agent_process_test.cc
@@ -174,9 +174,9 @@
                    Fixture fixture;
                    const auto other = OneDecoder(1);
                    other->endpoints[0].id = EndpointId("d2");
-                   const Status taken = fixture.process->OnManifest(other);
-                   CPPUNIT_ASSERT(!taken.ok());
-                   CPPUNIT_ASSERT(taken.error().result_code() ==
+                   const Status applied = fixture.process->OnManifest(other);
+                   CPPUNIT_ASSERT(!applied.ok());
+                   CPPUNIT_ASSERT(applied.error().result_code() ==
                                   ResultCode::kManifestInvalid);
                    fixture.Serve();
                  }),
@@ -189,10 +189,10 @@
                    QTcpServer owner;
                    CPPUNIT_ASSERT(owner.listen(QHostAddress::LocalHost));
                    Fixture fixture({}, owner.serverPort());
-                   const Status taken =
+                   const Status applied =
                        fixture.process->OnManifest(OneDecoder(1));
-                   CPPUNIT_ASSERT(!taken.ok());
-                   CPPUNIT_ASSERT(taken.error().result_code() ==
+                   CPPUNIT_ASSERT(!applied.ok());
+                   CPPUNIT_ASSERT(applied.error().result_code() ==
                                   ResultCode::kAddressInUse);
                    owner.close();
                    WaitUntil("it listens",
--- a/src/agent_process/tests/operations_pages_test.cc
+++ b/src/agent_process/tests/operations_pages_test.cc
@@ -65,7 +65,7 @@
          "answers",
          {{"healthz while it starts", "/healthz", false, false, 200},
           {"healthz while it drains", "/healthz?x=1", true, true, 200},
-          {"readyz as not ready before the engine told what it holds",
+          {"readyz as not ready before the engine lists what it holds",
            "/readyz", false, false, 503},
           {"readyz as ready", "/readyz", true, false, 200},
           {"readyz as not ready while it drains", "/readyz", true, true, 503},
--- a/src/agent_process/tests/settings_test.cc
+++ b/src/agent_process/tests/settings_test.cc
@@ -10,7 +10,7 @@
 using testing::ForEach;
 using testing::It;
 
-const std::string kLeast = R"(
+const std::string kMinimal = R"(
 [agent]
 endpoint = "d1"
 domain = "hall-a"
@@ -56,7 +56,7 @@
     "the settings of an agent",
     {It("have defaults for all but addresses, names and the manifest",
         [] {
-          const auto [settings, problems] = Read(kLeast);
+          const auto [settings, problems] = Read(kMinimal);
           CPPUNIT_ASSERT(problems.empty());
           CPPUNIT_ASSERT(settings.agent.endpoint == EndpointId("d1"));
           CPPUNIT_ASSERT(settings.engine.kind == engine::EngineKind::kOpenAi);
@@ -66,7 +66,7 @@
      It("take every policy",
         [] {
           const auto [settings, problems] =
-              Read(kLeast +
+              Read(kMinimal +
                    "[policy]\nreservation = \"promise\"\norder = \"newest\"\n"
                    "feasibility_counts_queue = false\nsession_lease = \"2s\"\n"
                    "heartbeat_bytes_per_second = \"9000B\"\n"
@@ -90,7 +90,7 @@
            false}},
          [](const DrainRow& row) { return row.name; },
          [](const DrainRow& row) {
-           std::string text = kLeast + "[operations]\n" + row.table + "\n";
+           std::string text = kMinimal + "[operations]\n" + row.table + "\n";
            const std::string key = "operations_listen = \"";
            const std::string loopback = "127.0.0.1:0";
            text.replace(text.find(key) + key.size(), loopback.size(),
@@ -100,21 +100,22 @@
            CPPUNIT_ASSERT_EQUAL(row.allowed, settings.allow_drain);
          }),
      ForEach<BadRow>(
-         "tell the key of",
-         {{"a missing endpoint", Without(kLeast, "endpoint = \"d1\"\n"),
+         "report the key of",
+         {{"a missing endpoint", Without(kMinimal, "endpoint = \"d1\"\n"),
            "agent.endpoint", ResultCode::kSettingsMissingKey},
-          {"a manifest from nowhere", Without(kLeast, "file = \"m.toml\"\n"),
+          {"a manifest from nowhere", Without(kMinimal, "file = \"m.toml\"\n"),
            "manifest.file", ResultCode::kSettingsMissingKey},
-          {"an unknown policy", kLeast + "[policy]\nreservation = \"maybe\"\n",
+          {"an unknown policy",
+           kMinimal + "[policy]\nreservation = \"maybe\"\n",
            "policy.reservation", ResultCode::kSettingsOutOfRange},
           {"no budget for heartbeats",
-           kLeast + "[policy]\nheartbeat_bytes_per_second = \"0B\"\n",
+           kMinimal + "[policy]\nheartbeat_bytes_per_second = \"0B\"\n",
            "policy.heartbeat_bytes_per_second",
            ResultCode::kSettingsOutOfRange},
-          {"an unknown key", kLeast + "[policy]\nresrvation = \"hold\"\n",
+          {"an unknown key", kMinimal + "[policy]\nresrvation = \"hold\"\n",
            "policy.resrvation", ResultCode::kSettingsUnknownKey},
           {"a certificate alone",
-           kLeast + "[peer_tls]\ncertificate_file = \"c.pem\"\n",
+           kMinimal + "[peer_tls]\ncertificate_file = \"c.pem\"\n",
            "peer_tls.certificate_file", ResultCode::kSettingsMissingKey}},
          [](const BadRow& row) { return row.name; },
          [](const BadRow& row) {
@@ -146,7 +147,7 @@
     {It("have role, slots and memory of the endpoint's record",
         [] {
           const auto complete =
-              WithManifest(Read(kLeast).settings, OneEndpoint());
+              WithManifest(Read(kMinimal).settings, OneEndpoint());
           CPPUNIT_ASSERT(complete.ok());
           CPPUNIT_ASSERT(complete->agent.role ==
                          protocol::EndpointRole::kDecode);
@@ -184,7 +185,8 @@
          [](const MismatchRow& row) {
            manifest::Manifest manifest = OneEndpoint();
            row.change(manifest);
-           const auto complete = WithManifest(Read(kLeast).settings, manifest);
+           const auto complete =
+               WithManifest(Read(kMinimal).settings, manifest);
            CPPUNIT_ASSERT(!complete.ok());
            CPPUNIT_ASSERT(complete.error().result_code() ==
                           ResultCode::kManifestInvalid);
--- a/src/service_levels/internal/level_fold.cc
+++ b/src/service_levels/internal/level_fold.cc
@@ -108,8 +108,8 @@
   // Windows that the process dropped are gaps too; they count once, as missed.
   const std::uint64_t numbers = logged.windows.rbegin()->first.value -
                                 logged.windows.begin()->first.value + 1;
-  const std::uint64_t holes = numbers - logged.windows.size();
-  into.missing_windows += holes - std::min(holes, logged.missed);
+  const std::uint64_t gaps = numbers - logged.windows.size();
+  into.missing_windows += gaps - std::min(gaps, logged.missed);
   for (const auto& [sequence, window] : logged.windows) {
     const Duration age = now - window.start;
     into.future_windows += age < Duration::zero() ? 1 : 0;
