--- a/src/entry_process/entry_process.cc
+++ b/src/entry_process/entry_process.cc
@@ -15,7 +15,7 @@
 #include "entry_process/internal/heartbeats.h"
 #include "entry_process/internal/operations_pages.h"
 #include "entry_process/internal/process_state.h"
-#include "entry_process/internal/service_level_book.h"
+#include "entry_process/internal/service_level_recorder.h"
 #include "entry_process/internal/shard.h"
 #include "framework/http/http_server.h"
 #include "framework/http/task_queue.h"
@@ -30,7 +30,7 @@
   return std::chrono::ceil<std::chrono::milliseconds>(duration);
 }
 
-// Names requests that never reach a shard. Thread safe.
+// Makes ids for requests that never reach a shard. Thread safe.
 class RequestNames {
  public:
   explicit RequestNames(std::uint64_t seed) : random(seed) {}
@@ -67,7 +67,7 @@
   void MakeOperationsServer();
   http::RequestHandler MakeShard(int index);
   // Thread safe: posts to the main thread.
-  void TellManifestHeard(LogOffset offset);
+  void ReportManifestOffset(LogOffset offset);
   Heartbeats::Options HeartbeatOptions(metrics::Registry& registry);
   // Runs `task` on the main thread, later. Thread safe.
   void PostToMain(std::function<void()> task);
@@ -85,20 +85,21 @@
   RandomSource random = RandomSource::FromSystem();
   RequestNames request_names;
   ProcessState state;
-  ServiceLevelBook service_levels;
+  ServiceLevelRecorder service_levels;
   DigestAppender digests;
   EntryMeasures measures;
   OperationsPages pages;
   log::RepeatLimiter log_limiter;
   Heartbeats heartbeats;
   std::vector<std::uint64_t> seeds;
-  // Each is touched on its own shard's thread only.
+  // Each shard is used on its own thread only.
   std::vector<std::unique_ptr<Shard>> shards;
   QObject context;
   http::TaskQueue main_tasks;  // from the shards' threads
   QTimer drain_check;
   Instant drain_until = kNever;
-  // Last, so that their threads end before what the shards use.
+  // Declared last, so that their threads end before the objects that the shards
+  // use.
   std::unique_ptr<http::Server> operations_server;
   std::unique_ptr<http::Server> callers_server;
 };
@@ -122,7 +123,7 @@
                       .seed = this->random.Next(),
                       .has_log = static_cast<bool>(this->options.make_log)}),
       digests(
-          {.book = this->service_levels,
+          {.recorder = this->service_levels,
            .log = this->options.make_log ? this->options.make_log() : nullptr}),
       measures(metrics_registry, &this->service_levels),
       pages({.state = this->state,
@@ -161,8 +162,8 @@
           }});
 }
 
-// The operations port is the operators' own: its few pages are served on the
-// main thread, within small bounds.
+// Only operators use the operations port: its few pages are served on the main
+// thread, within small bounds.
 void EntryProcess::Implementation::MakeOperationsServer() {
   this->operations_server = std::make_unique<http::Server>(http::ServerOptions{
       .listen = *this->options.operations_listen,
@@ -189,7 +190,7 @@
       .measures = this->measures,
       .log_limiter = this->log_limiter,
       .on_manifest_heard =
-          [this](LogOffset offset) { this->TellManifestHeard(offset); },
+          [this](LogOffset offset) { this->ReportManifestOffset(offset); },
       .on_session_opened =
           [this](const heartbeat::OpenSession& session, std::uint16_t port) {
             this->PostToMain([this, session, port] {
@@ -229,14 +230,14 @@
                 });
               },
           .on_manifest_heard =
-              [this](LogOffset offset) { this->TellManifestHeard(offset); }};
+              [this](LogOffset offset) { this->ReportManifestOffset(offset); }};
 }
 
 void EntryProcess::Implementation::PostToMain(std::function<void()> task) {
   this->main_tasks.Post(std::move(task));
 }
 
-void EntryProcess::Implementation::TellManifestHeard(LogOffset offset) {
+void EntryProcess::Implementation::ReportManifestOffset(LogOffset offset) {
   this->PostToMain([this, offset] {
     if (this->options.on_manifest_heard) {
       this->options.on_manifest_heard(offset);
@@ -303,8 +304,9 @@
                      [this] { this->StopTakingRequests(); });
 }
 
-// From the next turn of the event loop on, so that whoever asked for it by the
-// operations port gets an answer also from a process that has nothing to end.
+// Drains from the next iteration of the event loop on, so that the client that
+// requested it through the operations port gets an answer also from a process
+// that has nothing to finish.
 void EntryProcess::Implementation::DrainSoon() {
   QTimer::singleShot(0, &this->context, [this] { this->Drain(); });
 }
--- a/src/entry_process/entry_process.h
+++ b/src/entry_process/entry_process.h
@@ -14,14 +14,14 @@
 
 namespace acacialug::entry_process {
 
-// An entry: callers' port, operations port, and a shard with its own
-// EntryCore for each thread. Lives on the main thread with a running Qt event
-// loop; no method is thread safe.
+// An entry process: the callers' port, the operations port, and for each thread
+// a shard with its own EntryCore. Lives on the main thread with a running Qt
+// event loop; no method is thread safe.
 class EntryProcess {
  public:
   // `registry` outlives this object. `on_drained` runs once after Drain, when
-  // every request has its answer and every connection ended, or when the
-  // grace is over (`whole` false: something was cut off).
+  // every request has its answer and every connection has ended, or when
+  // drain_grace has passed (`whole` is false: something was cut off).
   EntryProcess(EntryProcessOptions options,
                metrics::Registry& registry,
                std::function<void(bool whole)> on_drained);
@@ -35,21 +35,22 @@
   std::uint16_t port() const;
   std::uint16_t operations_port() const;
 
-  // A newer manifest is in force, in all shards. `text`, unless empty, is
-  // shown to peers whose log is out.
+  // Activates a newer manifest in all shards. `text`, unless empty, is shown to
+  // peers that cannot reach the log.
   void SetManifest(const std::shared_ptr<const manifest::Manifest>& newest,
                    const std::string& text = {});
 
-  // The hosts that the platform says are leaving: their endpoints get no new
-  // work from now on.
+  // Sets the hosts that the platform reports as leaving: their endpoints get no
+  // new work from now on.
   void SetLeavingHosts(const std::set<HostId>& hosts);
 
-  // Leaves: /readyz fails at once; after drain_delay new requests are refused
-  // and idle connections closed; what runs goes on to its end. Safe to repeat.
+  // Starts to drain: /readyz fails at once; after drain_delay new requests are
+  // refused and idle connections are closed; running requests continue to their
+  // end. Safe to repeat.
   void Drain();
 
-  // Loads the certificates anew. Errors: kCertificateInvalid (the old ones
-  // stay).
+  // Loads the certificates again. Errors: kCertificateInvalid (the old
+  // certificates stay in use).
   Status ReloadTls();
 
  private:
--- a/src/entry_process/internal/agent_links.h
+++ b/src/entry_process/internal/agent_links.h
@@ -13,7 +13,7 @@
 
 namespace acacialug::entry_process {
 
-// A shard's connections to agents, many requests on each. Lives on its
+// A shard's connections to agents, each shared by many requests. Lives on its
 // shard's thread, with a Qt event loop; hooks run there, never from inside a
 // call.
 class AgentLinks {
@@ -39,12 +39,13 @@
   explicit AgentLinks(Options options);
   ~AgentLinks();
 
-  // Replaces a connection that exists.
+  // Replaces an existing connection.
   void Connect(const EndpointId& endpoint, const http::Address& address);
-  // Ends the connection; its hooks stay silent. Unknown is no error.
+  // Ends the connection without calling its hooks. An unknown endpoint is no
+  // error.
   void Drop(const EndpointId& endpoint);
   // A message to an endpoint that is not connected is dropped: on_closed has
-  // told, or is about to tell, that it is lost.
+  // reported the loss, or is about to.
   void Send(const EndpointId& endpoint, const protocol::EntryToAgent& message);
 
  private:
--- a/src/entry_process/internal/caller_headers.cc
+++ b/src/entry_process/internal/caller_headers.cc
@@ -34,7 +34,7 @@
 }
 
 // The header's value, empty if it is absent. A header given twice is refused:
-// whichever of two keys were taken, the other reader may take the other one.
+// another reader might take the other of the two values.
 Result<std::string> ReadText(const http::Headers& headers,
                              std::string_view name,
                              std::size_t longest) {
--- a/src/entry_process/internal/caller_headers.h
+++ b/src/entry_process/internal/caller_headers.h
@@ -23,7 +23,8 @@
 
 inline constexpr Duration kLongestDeadline = 24h;
 
-// What a caller says of a request beside its body. Empty (or zero): not said.
+// The parts of a request that a caller gives in its headers. Empty (or zero):
+// not given.
 struct CallerHeaders {
   std::string client_request_id;  // the caller's own X-Request-Id
   CallerName caller;  // set by the balancer, which authenticates callers
--- a/src/entry_process/internal/caller_request.cc
+++ b/src/entry_process/internal/caller_request.cc
@@ -8,19 +8,20 @@
 namespace acacialug::entry_process {
 namespace {
 
-Result<CallerAsk> ReadGeneration(protocol::GenerationApi api,
-                                 std::string body) {
+Result<CallerRequest> ReadGeneration(protocol::GenerationApi api,
+                                     std::string body) {
   Result<ParsedGeneration> parsed = ParseGeneration(api, std::move(body));
   if (!parsed.ok()) {
     return parsed.error();
   }
-  return CallerAsk(GenerationAsked{.parsed = std::move(parsed.value())});
+  return CallerRequest(
+      RequestedGeneration{.parsed = std::move(parsed.value())});
 }
 
 }  // namespace
 
-Result<CallerAsk> ReadCallerRequest(http::Request request,
-                                    const RequestId& id) {
+Result<CallerRequest> ReadCallerRequest(http::Request request,
+                                        const RequestId& id) {
   Result<RouteMatch> match = FindRoute(request.method, request.target);
   if (!match.ok()) {
     return match.error();
@@ -33,7 +34,7 @@
       return ReadGeneration(protocol::GenerationApi::kCompletions,
                             std::move(request.body));
     case Route::kService:
-      return CallerAsk(CallAsked{
+      return CallerRequest(RequestedCall{
           .service = ServiceName(std::move(match.value().name)),
           .call = MakeServiceRequest(std::move(request),
                                      std::move(match.value().target), id)});
@@ -44,8 +45,8 @@
     case Route::kReady:
       break;
   }
-  return CallerAsk(
-      PageAsked{.route = match->route, .name = std::move(match.value().name)});
+  return CallerRequest(RequestedPage{.route = match->route,
+                                     .name = std::move(match.value().name)});
 }
 
 http::Headers IdentityHeaders(const RequestId& id,
--- a/src/entry_process/internal/caller_request.h
+++ b/src/entry_process/internal/caller_request.h
@@ -14,25 +14,27 @@
 
 namespace acacialug::entry_process {
 
-struct GenerationAsked {
+struct RequestedGeneration {
   ParsedGeneration parsed;
 };
-struct CallAsked {
+struct RequestedCall {
   ServiceName service;
   protocol::ServiceRequest call;
 };
-// A page that the process answers by itself.
-struct PageAsked {
+// A page that the process answers itself.
+struct RequestedPage {
   Route route = Route::kHealth;
   std::string name;  // of the model or the service; kModel and kTicket
 };
 
-// What a caller's HTTP request asks for.
-using CallerAsk = std::variant<GenerationAsked, CallAsked, PageAsked>;
+// The content of a caller's HTTP request.
+using CallerRequest =
+    std::variant<RequestedGeneration, RequestedCall, RequestedPage>;
 
-// Reads a request whose headers were read already; `id` is the name that it
-// got. Errors: those of FindRoute and ParseGeneration. Thread safe.
-Result<CallerAsk> ReadCallerRequest(http::Request request, const RequestId& id);
+// Reads a request whose headers were already read; `id` is the id that it was
+// given. Errors: those of FindRoute and ParseGeneration. Thread safe.
+Result<CallerRequest> ReadCallerRequest(http::Request request,
+                                        const RequestId& id);
 
 // The headers that every answer to a request carries: its id, and the
 // caller's own id if it gave one. Thread safe.
--- a/src/entry_process/internal/claims_log.h
+++ b/src/entry_process/internal/claims_log.h
@@ -12,10 +12,11 @@
 // The stream of the platform's log that holds claims on idempotency keys.
 inline constexpr char kClaimsStream[] = "claims";
 
-// Carries a core's claims to the platform's log and the outcomes back, in the
-// core's terms: an append is only ever told as not appended when the log says
-// so. Without a log every append is not appended and every read unreachable.
-// Lives on its shard's thread; hooks run there, never from inside a call.
+// Carries a core's claims to the platform's log and returns the outcomes in the
+// core's terms: an append is reported as not appended only when the log says
+// so. Without a log every append is reported as not appended and every read as
+// unreachable. Lives on its shard's thread; hooks run there, never from inside
+// a call.
 class ClaimsLog {
  public:
   struct Hooks {
--- a/src/entry_process/internal/digest_appender.cc
+++ b/src/entry_process/internal/digest_appender.cc
@@ -39,7 +39,7 @@
   this->timer.stop();
   const auto append = this->options.log == nullptr
                           ? std::nullopt
-                          : this->options.book.FinishDigests(WallNow());
+                          : this->options.recorder.FinishDigests(WallNow());
   if (!append) {
     this->finish_timer.start(0);
     return;
@@ -49,16 +49,16 @@
 }
 
 void DigestAppender::OnTimer() {
-  if (const auto append = this->options.book.OnDigestTimer(WallNow())) {
+  if (const auto append = this->options.recorder.OnDigestTimer(WallNow())) {
     this->Append(*append);
   }
-  this->TellMissed();
+  this->LogMissed();
   this->ArmTimer();
 }
 
 void DigestAppender::ArmTimer() {
   if (this->options.log != nullptr) {
-    this->timer.start(Milliseconds(this->options.book.UntilDigestTimer()));
+    this->timer.start(Milliseconds(this->options.recorder.UntilDigestTimer()));
   }
 }
 
@@ -76,7 +76,7 @@
 
 void DigestAppender::OnAppended(std::uint64_t ticket,
                                 const Result<LogOffset>& result) {
-  this->options.book.OnDigestAppended(ticket, result.ok());
+  this->options.recorder.OnDigestAppended(ticket, result.ok());
   if (!result.ok()) {
     log::Warning("digest_not_appended",
                  {.code = result.error().result_code(),
@@ -89,12 +89,12 @@
   this->ArmTimer();
 }
 
-// Windows that waited too long for the log are gone; a report says how many,
-// and this says so where the operators of this host look.
-void DigestAppender::TellMissed() {
-  const std::uint64_t missed = this->options.book.missed_digests();
-  if (missed > this->told_missed) {
-    this->told_missed = missed;
+// Windows that waited too long for the log are dropped. A report gives their
+// number, and this log entry shows it to the operators of this host.
+void DigestAppender::LogMissed() {
+  const std::uint64_t missed = this->options.recorder.missed_digests();
+  if (missed > this->logged_missed) {
+    this->logged_missed = missed;
     log::Warning("digests_missed", {.fields = {{"windows", missed}}});
   }
 }
--- a/src/entry_process/internal/entry_measures.cc
+++ b/src/entry_process/internal/entry_measures.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-// What a caller sent wrong (1xxx), its own key's state (4xxx) and its own rate
-// say nothing of the service: else one broken caller spends the error budget
-// of all, and pages the operators.
+// A caller's malformed requests (1xxx), the state of its own key (4xxx) and its
+// own rate say nothing about the service: if they counted, one broken caller
+// would spend the error budget of all callers and page the operators.
 bool IsCallersOwn(ResultCode code) {
   const int thousands = static_cast<int>(code) / 1000;
   return thousands == 1 || thousands == 4 ||
@@ -132,15 +132,15 @@
     this->registry.Get(kWastedPrefillTokensTotal, {service, CauseName(cause)})
         .Add(wasted);
   }
-  if (this->book != nullptr) {
-    this->book->CountPrefill(service, computed, wasted, cause);
+  if (this->recorder != nullptr) {
+    this->recorder->CountPrefill(service, computed, wasted, cause);
   }
 }
 
 void EntryMeasures::CountLevel(const RequestTrace& trace,
                                const LevelCounts& counts) {
-  if (this->book != nullptr) {
-    this->book->CountRequest(trace.service, trace.latency_class, counts);
+  if (this->recorder != nullptr) {
+    this->recorder->CountRequest(trace.service, trace.latency_class, counts);
   }
 }
 
--- a/src/entry_process/internal/entry_measures.h
+++ b/src/entry_process/internal/entry_measures.h
@@ -5,7 +5,7 @@
 #include <string_view>
 
 #include "entry_process/internal/request_trace.h"
-#include "entry_process/internal/service_level_book.h"
+#include "entry_process/internal/service_level_recorder.h"
 #include "framework/global/types/instant.h"
 #include "framework/global/types/result_code.h"
 #include "framework/metrics/registry.h"
@@ -13,14 +13,14 @@
 
 namespace acacialug::entry_process {
 
-// Records what an entry's requests came to, all shards together, under the
+// Records the results of an entry's requests, all shards together, under the
 // definitions of metric_definitions.h. Thread safe.
 class EntryMeasures {
  public:
-  // Both outlive this object; without a book only metrics are recorded.
+  // Both outlive this object; without a recorder only metrics are recorded.
   explicit EntryMeasures(metrics::Registry& metrics_registry,
-                         ServiceLevelBook* level_book = nullptr)
-      : registry(metrics_registry), book(level_book) {}
+                         ServiceLevelRecorder* level_recorder = nullptr)
+      : registry(metrics_registry), recorder(level_recorder) {}
 
   // A generation, or a call, that completed `now`.
   void OnGenerationCompleted(const RequestTrace& trace,
@@ -31,7 +31,7 @@
   void OnError(const RequestTrace& trace,
                ResultCode code,
                protocol::Outcome outcome);
-  // A request whose caller went away first.
+  // A request whose caller left before the answer.
   void OnCallerGone(const RequestTrace& trace);
   // A request that was refused before it reached a shard's core.
   void OnBadRequest(ResultCode code);
@@ -56,7 +56,7 @@
                   const service_levels::LevelCounts& counts);
 
   metrics::Registry& registry;
-  ServiceLevelBook* const book;
+  ServiceLevelRecorder* const recorder;
 };
 
 }  // namespace acacialug::entry_process
--- a/src/entry_process/internal/error_answer.cc
+++ b/src/entry_process/internal/error_answer.cc
@@ -15,7 +15,7 @@
   int status;
 };
 
-// Codes that are not here get the status of their thousand.
+// Codes that are not listed get the status of their thousand.
 constexpr StatusRow kStatusTable[] = {
     {ResultCode::kUnknownModel, 404},
     {ResultCode::kUnknownService, 404},
@@ -73,7 +73,7 @@
   }
 }
 
-// A caller may send the same again, at another time or place.
+// Whether a caller may send the same request again, later or elsewhere.
 bool MayRetry(const ErrorAnswer& error) {
   const int status = HttpStatusOf(error.code);
   return error.outcome == protocol::Outcome::kNotRun &&
--- a/src/entry_process/internal/error_answer.h
+++ b/src/entry_process/internal/error_answer.h
@@ -10,7 +10,7 @@
 
 namespace acacialug::entry_process {
 
-// An error as a caller gets it.
+// An error as a caller receives it.
 struct ErrorAnswer {
   ResultCode code = ResultCode::kInternal;
   protocol::Outcome outcome = protocol::Outcome::kNotRun;
@@ -27,9 +27,9 @@
 std::string RenderErrorBody(const ErrorAnswer& error);
 
 // The whole answer: status, body, X-Outcome, Retry-After (whole seconds, at
-// least 1) for what did not run for want of room, and X-Should-Retry, which
-// the API's client libraries obey: by themselves they repeat after any 429 or
-// 5xx, also work that may have run. Thread safe.
+// least 1) for a request that did not run for lack of capacity, and
+// X-Should-Retry, which the API's client libraries obey: without it they retry
+// after any 429 or 5xx, including work that may have run. Thread safe.
 http::Response RenderError(const ErrorAnswer& error);
 
 }  // namespace acacialug::entry_process
--- a/src/entry_process/internal/generation_answer.cc
+++ b/src/entry_process/internal/generation_answer.cc
@@ -93,8 +93,8 @@
   this->collected.insert(0, this->renderer.BeginEvents());
 }
 
-// A caller that reads too slowly is not told to have read: the core then
-// stops acknowledging, and the engine's stream stops with it.
+// Chunks that a slow caller has not read are not reported as delivered: the
+// core then stops acknowledging, and the engine's stream stops with it.
 void GenerationAnswer::ReportDelivered() {
   if (!this->undelivered) {
     return;
@@ -108,8 +108,8 @@
   this->responder->SetOnDrained([this] { this->ReportDelivered(); });
 }
 
-// The event that names the error should reach the caller, but one that does
-// not read must not keep the connection.
+// The event that names the error should reach the caller, but a caller that
+// does not read must not keep the connection.
 void GenerationAnswer::CutWhenRead() {
   this->cutting = true;
   const std::size_t unsent = this->responder->unsent_bytes();
--- a/src/entry_process/internal/generation_answer.h
+++ b/src/entry_process/internal/generation_answer.h
@@ -14,9 +14,9 @@
 
 namespace acacialug::entry_process {
 
-// One generation's answer on its way to the caller, streamed or whole. Texts
-// are collected and written by Flush, so that all that came in one turn of
-// the event loop costs one write. Lives on its shard's thread.
+// One generation's answer to the caller, streamed or whole. Texts are collected
+// and written by Flush, so that all texts received in one iteration of the
+// event loop cost one write. Lives on its shard's thread.
 class GenerationAnswer {
  public:
   struct Options {
@@ -24,27 +24,28 @@
     bool stream = false;
     http::Headers identity;  // sent with every answer to this request
     AnswerLimits limits;
-    // The caller has taken the pieces up to and including this one. Runs
-    // inside Flush, or later when a slow caller has read on; must not destroy
-    // this object.
+    // The caller has taken the chunks up to and including this one. Runs inside
+    // Flush, or later when a slow caller has read on; must not destroy this
+    // object.
     std::function<void(std::uint64_t index)> on_delivered;
   };
 
   GenerationAnswer(http::ResponderPtr responder, Options options);
   ~GenerationAnswer();
 
-  // Takes the next piece. False when a whole answer would exceed its bound;
-  // the piece is then not kept, and the owner must fail the answer.
+  // Takes the next chunk. False when a whole answer would exceed its bound; the
+  // chunk is then not kept, and the owner must fail the answer.
   bool AddText(std::uint64_t index, std::string_view text);
 
   // Writes what AddText collected.
   void Flush();
 
-  // Ends the answer well.
+  // Ends a complete answer.
   void End(protocol::FinishReason reason, const protocol::Usage& usage);
 
-  // Ends it by an error: as an HTTP error while nothing was sent, else as a
-  // last event and a cut connection, so that it cannot look whole.
+  // Ends the answer with an error: as an HTTP error while nothing was sent,
+  // otherwise as a last event and a cut connection, so that the answer cannot
+  // look complete.
   void Fail(const ErrorAnswer& error);
 
  private:
@@ -58,7 +59,7 @@
   bool begun = false;
   bool cutting = false;
   std::string collected;  // events to write, or the whole text so far
-  std::optional<std::uint64_t> undelivered;  // the last piece not reported
+  std::optional<std::uint64_t> undelivered;  // the last chunk not reported
 };
 
 }  // namespace acacialug::entry_process
--- a/src/entry_process/internal/generation_parser.cc
+++ b/src/entry_process/internal/generation_parser.cc
@@ -120,9 +120,9 @@
          role == "assistant";
 }
 
-// The text is written as the engine's template does in principle, "role:
-// content", since only equal prefixes matter: it places a prompt, and the
-// engine reads the body itself.
+// The text is written roughly as the engine's template does, "role: content",
+// since only equal prefixes matter: the text serves to choose endpoints for the
+// prompt, and the engine reads the body itself.
 Result<std::string> ReadMessages(const json& body) {
   const json* messages = Find(body, "messages");
   if (messages == nullptr || !messages->is_array() || messages->empty()) {
--- a/src/entry_process/internal/generation_parser.h
+++ b/src/entry_process/internal/generation_parser.h
@@ -8,19 +8,19 @@
 
 namespace acacialug::entry_process {
 
-// A generation as a caller asked for it.
+// A generation as requested by a caller.
 struct ParsedGeneration {
-  protocol::GenerationRequest generation;  // max_tokens 0: not said
+  protocol::GenerationRequest generation;  // max_tokens 0: not given
   std::string prompt_text;  // what the model reads, message by message
-  std::string user;         // the API's `user`; empty: not said
+  std::string user;         // the API's `user`; empty: not given
   bool stream = false;
   bool include_usage = false;  // a last event with the usage
 };
 
-// Reads the body of a chat or plain completion. Parameters for the sampler
-// pass through unseen; those that change the answer's shape, or that this
-// system sets itself, are refused, since an answer that goes on at another
-// endpoint after a loss could not keep them whole. Errors: kMalformedJson,
+// Reads the body of a chat or plain completion. Sampling parameters pass
+// through unread. Parameters that change the answer's shape, or that this
+// system sets itself, are refused, since an answer that continues at another
+// endpoint after a loss could not honor them. Errors: kMalformedJson,
 // kInvalidParameter with the parameter's name. Thread safe.
 Result<ParsedGeneration> ParseGeneration(protocol::GenerationApi api,
                                          std::string body);
--- a/src/entry_process/internal/generation_renderer.cc
+++ b/src/entry_process/internal/generation_renderer.cc
@@ -27,7 +27,7 @@
   return fields.dump();
 }
 
-// What stands between the event's head and its text, and after the text.
+// The text between the event's head and its content, and after the content.
 struct TextFrame {
   std::string_view begin;
   std::string_view end;
--- a/src/entry_process/internal/generation_renderer.h
+++ b/src/entry_process/internal/generation_renderer.h
@@ -11,7 +11,7 @@
 namespace acacialug::entry_process {
 
 // Writes one generation's answer in the OpenAI API's shape, whole or as
-// server-sent events. The parts that do not change between events are written
+// server-sent events. The parts that are the same in all events are written
 // once, so that an event costs little more than escaping its text. Not thread
 // safe.
 class GenerationRenderer {
@@ -28,7 +28,7 @@
 
   // The event before any text: a chat's role. Empty for completions.
   std::string BeginEvents() const;
-  // Appends the event of one piece of text to `events`.
+  // Appends the event of one chunk of text to `events`.
   void AppendTextEvent(std::string_view text, std::string& events) const;
   // The closing events: finish reason, usage if asked for, and "[DONE]".
   std::string EndEvents(protocol::FinishReason reason,
--- a/src/entry_process/internal/heartbeats.cc
+++ b/src/entry_process/internal/heartbeats.cc
@@ -12,12 +12,13 @@
 namespace acacialug::entry_process {
 namespace {
 
-// A shard wakes at least once a second. One that has not for as long as the
-// shortest lease would have lost its sessions had it renewed them itself.
-constexpr Duration kShardSilence = 3s;
-// The answers to one turn of heartbeats come within this. No lease loses by
-// it: all count from the sending.
-constexpr std::chrono::milliseconds kTellAfter{5};
+// A shard wakes at least once a second. A shard that has not done so for the
+// time of the shortest lease would have lost its sessions had it renewed them
+// itself.
+constexpr Duration kShardTimeout = 3s;
+// The answers to one round of heartbeats arrive within this time. The delay
+// shortens no lease: all leases count from the sending.
+constexpr std::chrono::milliseconds kReportDelay{5};
 
 }  // namespace
 
@@ -30,7 +31,7 @@
                   [this](std::string_view datagram, const http::Address&) {
                     this->OnDatagram(datagram);
                   }}),
-      told_interval(heartbeat_options.process.core.renew_interval),
+      reported_interval(heartbeat_options.process.core.renew_interval),
       bytes_sent(this->options.registry.Get(kHeartbeatBytesTotal, {"sent"})),
       bytes_received(
           this->options.registry.Get(kHeartbeatBytesTotal, {"received"})),
@@ -39,14 +40,14 @@
       dropped(this->options.registry.Get(kHeartbeatsTotal, {"dropped"})),
       over_budget(this->options.registry.Get(kHeartbeatOverBudgetTotal)),
       interval(this->options.registry.Get(kHeartbeatIntervalSeconds)) {
-  this->interval.Set(Seconds(this->told_interval));
+  this->interval.Set(Seconds(this->reported_interval));
   this->timer.setSingleShot(true);
   this->timer.setTimerType(Qt::PreciseTimer);
   QObject::connect(&this->timer, &QTimer::timeout, &this->context,
                    [this] { this->OnTimer(); });
-  this->tell_timer.setSingleShot(true);
-  QObject::connect(&this->tell_timer, &QTimer::timeout, &this->context,
-                   [this] { this->TellShards(); });
+  this->report_timer.setSingleShot(true);
+  QObject::connect(&this->report_timer, &QTimer::timeout, &this->context,
+                   [this] { this->ReportToShards(); });
 }
 
 heartbeat::HeartbeatSender::Options Heartbeats::SenderOptions() const {
@@ -57,13 +58,13 @@
           .incarnation = this->options.process.core.incarnation,
           .budget = budget,
           .shard_runs = [&state = this->options.state](int shard, Instant now) {
-            return now - state.board(shard).last_running() < kShardSilence;
+            return now - state.board(shard).last_running() < kShardTimeout;
           }};
 }
 
 void Heartbeats::Start() {
-  // By datagrams nobody would know whose heartbeat it is: the certificates of
-  // peer_tls speak for connections only (docs/decisions).
+  // The sender of a heartbeat in a datagram could not be verified: the
+  // certificates of peer_tls cover connections only (docs/decisions).
   if (this->options.process.channels.tls.enabled()) {
     return;
   }
@@ -80,7 +81,8 @@
   const auto manifest = this->options.state.manifest();
   const manifest::Endpoint* const record =
       manifest == nullptr ? nullptr : manifest->FindEndpoint(session.endpoint);
-  // The socket speaks IPv4; an agent at another address gets frames.
+  // The socket is IPv4 only; an agent at an address of another kind gets
+  // frames.
   session.by_datagram = this->bound && port != 0 && record != nullptr &&
                         record->agent.ip.find(':') == std::string::npos;
   if (session.by_datagram) {
@@ -113,7 +115,7 @@
     return;
   }
   this->answered.Add();
-  if (this->options.state.NoteManifestHeard(answer->manifest)) {
+  if (this->options.state.NoteManifestOffset(answer->manifest)) {
     this->options.on_manifest_heard(answer->manifest);
   }
   this->Pump();
@@ -132,14 +134,14 @@
   for (heartbeat::RenewalReport& renewed : this->sender.TakeRenewals()) {
     this->renewals[renewed.shard].push_back(std::move(renewed));
   }
-  if (!this->renewals.empty() && !this->tell_timer.isActive()) {
-    this->tell_timer.start(kTellAfter);
+  if (!this->renewals.empty() && !this->report_timer.isActive()) {
+    this->report_timer.start(kReportDelay);
   }
   this->FollowBudget();
   this->ArmTimer();
 }
 
-void Heartbeats::TellShards() {
+void Heartbeats::ReportToShards() {
   for (const auto& [shard, renewed] : std::exchange(this->renewals, {})) {
     this->options.on_renewed(shard, renewed);
   }
@@ -160,7 +162,7 @@
 void Heartbeats::ArmTimer() {
   const Instant next = this->sender.next_timer();
   if (next >= this->armed_for) {
-    return;  // found too early when it fires
+    return;  // the timer fires early and is armed again
   }
   this->armed_for = next;
   this->timer.start(std::chrono::ceil<std::chrono::milliseconds>(
@@ -168,11 +170,11 @@
 }
 
 void Heartbeats::FollowBudget() {
-  // Small steps are not worth a word to every shard.
+  // A small change of the interval is not worth a message to every shard.
   const Duration wanted = this->sender.interval();
-  if (std::chrono::abs(wanted - this->told_interval) >
-      this->told_interval / 16) {
-    this->told_interval = wanted;
+  if (std::chrono::abs(wanted - this->reported_interval) >
+      this->reported_interval / 16) {
+    this->reported_interval = wanted;
     this->interval.Set(Seconds(wanted));
     this->options.on_interval(wanted);
   }
@@ -188,7 +190,7 @@
       within ? log::Level::kInfo : log::Level::kWarning,
       within ? "heartbeat_budget_held" : "heartbeat_budget_exceeded",
       {.fields = {{"agents", this->sender.peers()},
-                  {"interval_ms", this->told_interval},
+                  {"interval_ms", this->reported_interval},
                   {"bytes_per_second",
                    this->options.process.heartbeats.bytes_per_second}}});
 }
--- a/src/entry_process/internal/heartbeats.h
+++ b/src/entry_process/internal/heartbeats.h
@@ -29,7 +29,8 @@
     metrics::Registry& registry;
     log::RepeatLimiter& log_limiter;
     std::uint64_t seed = 0;
-    // Run on the main thread; bring what they tell to the shards.
+    // These hooks run on the main thread and forward their arguments to the
+    // shards.
     std::function<void(int shard,
                        const std::vector<heartbeat::RenewalReport>& renewed)>
         on_renewed;
@@ -39,7 +40,8 @@
 
   explicit Heartbeats(const Options& heartbeat_options);
 
-  // Without a socket (it is logged) sessions are renewed by frames.
+  // If the socket cannot be opened (this is logged), sessions are renewed by
+  // frames.
   void Start();
 
   void OnOpened(heartbeat::OpenSession session, std::uint16_t port);
@@ -50,12 +52,12 @@
   heartbeat::HeartbeatSender::Options SenderOptions() const;
   void OnDatagram(std::string_view datagram);
   void OnTimer();
-  // Carries out what the sender asks for.
+  // Carries out the sender's actions.
   void Pump();
   void Send(const heartbeat::SendHeartbeat& action);
   void ArmTimer();
-  // Wakes each shard once for what a turn of heartbeats has brought.
-  void TellShards();
+  // Wakes each shard once for the results of a round of heartbeats.
+  void ReportToShards();
   void FollowBudget();
 
   const Options options;
@@ -66,10 +68,10 @@
   std::map<EndpointId, http::Address> addresses;
   QObject context;
   QTimer timer;
-  QTimer tell_timer;
+  QTimer report_timer;
   std::map<int, std::vector<heartbeat::RenewalReport>> renewals;  // by shard
   Instant armed_for = kNever;
-  Duration told_interval{};
+  Duration reported_interval{};
   bool within_budget = true;
   metrics::Counter bytes_sent;
   metrics::Counter bytes_received;
--- a/src/entry_process/internal/json_bounds.h
+++ b/src/entry_process/internal/json_bounds.h
@@ -11,11 +11,11 @@
   std::size_t values = 200'000;
 };
 
-// Looks at a text's brackets and commas before it is parsed. A body of 8 MB
-// that is all brackets makes a tree so deep that writing it out again ends
-// the stack (the process dies, with all its requests); one that is all commas
-// makes a tree twenty times its size. Both are cheap to see beforehand: this
-// is one pass without memory. Thread safe.
+// Checks a text's brackets and commas before it is parsed. An 8 MB body of
+// brackets makes a tree so deep that serializing it overflows the stack (the
+// process dies, with all its requests); a body of commas makes a tree twenty
+// times its size. Both are cheap to detect beforehand: the check is a single
+// scan that allocates no memory. Thread safe.
 bool JsonWithinBounds(std::string_view text, const JsonLimits& limits);
 
 }  // namespace acacialug::entry_process
--- a/src/entry_process/internal/manifest_source.cc
+++ b/src/entry_process/internal/manifest_source.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kReadyCheckInterval{20};
-// Entries bring changes to the agents, within 4 s: after an outage of the log
-// they must not sleep longer than the rest of the way may take.
+// Entries bring changes to the agents within 4 s. After an outage of the log
+// they must therefore not sleep longer than the remaining steps allow.
 constexpr Duration kLongestRetry = 2s;
 
 Result<manifest::Manifest> ReadFile(const std::string& path) {
@@ -32,7 +32,7 @@
     : options(std::move(source_options)), random(random_source) {
   this->ready_check.setInterval(kReadyCheckInterval);
   QObject::connect(&this->ready_check, &QTimer::timeout,
-                   [this] { this->HandOn(); });
+                   [this] { this->PassManifestOn(); });
 }
 
 Status ManifestSource::Start() {
@@ -51,8 +51,8 @@
   if (!read.ok()) {
     return read.error();
   }
-  // A file has no offset in the log; each reading is newer than the one
-  // before.
+  // A file has no offset in the log; each reading counts as newer than the
+  // previous one.
   read.value().offset = LogOffset(++this->file_reads);
   this->options.on_manifest(
       std::make_shared<const manifest::Manifest>(std::move(read.value())), {});
@@ -74,16 +74,17 @@
           .log = std::move(this->options.log),
           .on_active =
               [this](const configuration::AcceptedManifest&) {
-                this->HandOn();
+                this->PassManifestOn();
               },
           .peers = this->options.peers},
       this->random);
   this->client->Start();
 }
 
-// A log is read record by record: until its end is reached, what is in force
-// may have been replaced long ago, and must not be served under.
-void ManifestSource::HandOn() {
+// A log is read record by record: before its end is reached, the manifest read
+// so far may have been replaced long ago and must not be used to serve
+// requests.
+void ManifestSource::PassManifestOn() {
   if (!this->client->ready()) {
     this->ready_check.start();
     return;
--- a/src/entry_process/internal/operations_pages.cc
+++ b/src/entry_process/internal/operations_pages.cc
@@ -17,7 +17,7 @@
 constexpr int kAccepted = 202;
 constexpr int kMethodNotAllowed = 405;
 constexpr int kServiceUnavailable = 503;
-// Of /requests: some hundred bytes each.
+// Limit of /requests; each request takes some hundred bytes.
 constexpr std::size_t kMostRequestsShown = 1000;
 
 http::Response Page(std::string content_type, std::string body) {
--- a/src/entry_process/internal/operations_pages.h
+++ b/src/entry_process/internal/operations_pages.h
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "entry_process/internal/process_state.h"
-#include "entry_process/internal/service_level_book.h"
+#include "entry_process/internal/service_level_recorder.h"
 #include "framework/global/types/instant.h"
 #include "framework/http/http_types.h"
 #include "framework/metrics/registry.h"
@@ -25,9 +25,9 @@
     ProcessState& state;  // both outlive this object
     metrics::Registry& registry;
     operations::DrainRules drain_rules;
-    // Makes the process leave, after the answer that says so was sent.
+    // Drains the process after the answer that confirms it was sent.
     std::function<void()> drain;
-    ServiceLevelBook* service_levels = nullptr;  // null: no such page
+    ServiceLevelRecorder* service_levels = nullptr;  // null: no such page
   };
 
   explicit OperationsPages(Options options);
@@ -35,7 +35,7 @@
   // Errors are answered as on the callers' port.
   http::Response Answer(const http::Request& request, Instant now);
 
-  // What /manifest shows to peers whose log is out.
+  // Sets the page that /manifest shows to peers that cannot reach the log.
   void SetManifestPage(std::string page) {
     this->manifest_page = std::move(page);
   }
@@ -53,7 +53,7 @@
 // The answer of /healthz: the process runs. Thread safe.
 http::Response RenderHealth();
 
-// The answer of /readyz: 200, or 503 and why. Thread safe.
+// The answer of /readyz: 200, or 503 with the reason. Thread safe.
 http::Response RenderReadiness(const Readiness& readiness);
 
 }  // namespace acacialug::entry_process
--- a/src/entry_process/internal/parameter_rules.cc
+++ b/src/entry_process/internal/parameter_rules.cc
@@ -42,7 +42,7 @@
 constexpr std::string_view kUnsupported = "is not supported";
 
 constexpr Rule kRules[] = {
-    // Answers of another shape than one text.
+    // Answers that are not a single text.
     {"n", IsOne, "only 1 is supported"},
     {"best_of", IsOne, "only 1 is supported"},
     {"use_beam_search", IsFalse, kUnsupported},
@@ -58,15 +58,16 @@
     {"function_call", IsNone, kUnsupported},
     {"modalities", IsTextOnly, "only [\"text\"] is supported"},
     {"audio", Never, kUnsupported},
-    // A grammar begins anew when an answer goes on at another endpoint.
+    // A grammar starts from its beginning when an answer continues at another
+    // endpoint.
     {"response_format", IsPlainText, "only {\"type\": \"text\"} is supported"},
     {"structured_outputs", Never, kUnsupported},
     {"guided_json", Never, kUnsupported},
     {"guided_regex", Never, kUnsupported},
     {"guided_choice", Never, kUnsupported},
     {"guided_grammar", Never, kUnsupported},
-    // A caller that set these could read another's KV cache, overtake others,
-    // or cancel what is not its own.
+    // A caller that set these could read another caller's KV cache, overtake
+    // other callers, or cancel requests of other callers.
     {"kv_transfer_params", Never, kOurs},
     {"priority", Never, kOurs},
     {"request_id", Never, kOurs},
--- a/src/entry_process/internal/parameter_rules.h
+++ b/src/entry_process/internal/parameter_rules.h
@@ -7,10 +7,11 @@
 
 namespace acacialug::entry_process {
 
-// Refuses parameters of a generation that this system cannot keep whole or
-// sets itself; their neutral values (null, false, n of 1, ...) pass, since
-// client libraries send them. Precondition: `body` is an object. Errors:
-// kInvalidParameter with the parameter's name. Thread safe.
+// Refuses parameters of a generation that this system sets itself or cannot
+// honor when an answer continues at another endpoint. Their neutral values
+// (null, false, n of 1, ...) pass, since client libraries send them.
+// Precondition: `body` is an object. Errors: kInvalidParameter with the
+// parameter's name. Thread safe.
 Status CheckParameters(const nlohmann::json& body);
 
 // An error about one parameter. Thread safe.
--- a/src/entry_process/internal/process_state.cc
+++ b/src/entry_process/internal/process_state.cc
@@ -100,15 +100,15 @@
 
 void ProcessState::SetManifest(
     std::shared_ptr<const manifest::Manifest> manifest) {
-  this->NoteManifestHeard(manifest->offset);
+  this->NoteManifestOffset(manifest->offset);
   const std::scoped_lock lock(this->mutex);
   this->newest = std::move(manifest);
 }
 
-bool ProcessState::NoteManifestHeard(LogOffset offset) {
-  std::uint64_t highest = this->highest_heard.load();
+bool ProcessState::NoteManifestOffset(LogOffset offset) {
+  std::uint64_t highest = this->highest_received.load();
   while (offset.value > highest) {
-    if (this->highest_heard.compare_exchange_weak(highest, offset.value)) {
+    if (this->highest_received.compare_exchange_weak(highest, offset.value)) {
       return true;
     }
   }
--- a/src/entry_process/internal/process_state.h
+++ b/src/entry_process/internal/process_state.h
@@ -26,20 +26,21 @@
   protocol::EndpointLoad load;
 };
 
-// What a shard shows of itself; written by the shard, read by anyone.
+// What a shard shows of its state; written by the shard, read from any thread.
 class ShardBoard {
  public:
   explicit ShardBoard(std::size_t trace_bytes) : request_traces(trace_bytes) {}
 
-  // Thread safe, all of them.
+  // All methods are thread safe.
   void SetRequests(std::size_t alive, bool is_drained);
   // The endpoint's agent answered the opening of a session.
   void SetWelcomed(const EndpointId& endpoint, Incarnation incarnation);
   void SetClosed(const EndpointId& endpoint);
   void Remove(const EndpointId& endpoint);
   void SetLoad(const EndpointId& endpoint, const protocol::EndpointLoad& load);
-  // The shard's thread runs. Without this the sessions of one that hangs would
-  // be renewed by another thread, and its engines' memory stay held.
+  // Records that the shard's thread runs. Without this record another thread
+  // would renew the sessions of a shard that hangs, and its engines' memory
+  // would stay held.
   void NoteRunning(Instant now);
 
   Instant last_running() const {
@@ -87,23 +88,24 @@
   void SetManifest(std::shared_ptr<const manifest::Manifest> newest);
   std::shared_ptr<const manifest::Manifest> manifest() const;
 
-  // Notes an offset that a peer spoke of; true when it is news: greater than
-  // the manifest's in force and than all heard before.
-  bool NoteManifestHeard(LogOffset offset);
+  // Records an offset that a peer reported; true when it is new: greater than
+  // the active manifest's and than all offsets received before.
+  bool NoteManifestOffset(LogOffset offset);
 
   void BeginDrain() { this->is_draining.store(true); }
   bool draining() const { return this->is_draining.load(); }
   bool AllDrained() const;
   std::size_t AliveRequests() const;
 
-  // Ready: a manifest is in force, the process is not leaving, and each shard
-  // has an agent of every service, or waited long enough for it and has one
-  // of some service. Once ready, a service without agents no longer counts:
-  // its callers get refusals, and the other services' callers must not suffer.
+  // Ready: a manifest is active, the process is not draining, and each shard
+  // has an agent of every service, or has waited for ready_wait and has an
+  // agent of some service. Once the process is ready, a service without agents
+  // no longer counts: its callers get refusals, and the other services' callers
+  // must not suffer.
   Readiness CheckReady(Instant now);
 
-  // Of the requests that are alive, the oldest first, each with its last
-  // step, at most `limit`.
+  // The requests that are alive, the oldest first, each with its last step, at
+  // most `limit`.
   operations::EntryRequests AliveTraces(std::size_t limit, Instant now) const;
 
   // One request's trace. Errors: kUnknownRequest.
@@ -122,7 +124,7 @@
   std::vector<std::unique_ptr<ShardBoard>> boards;
   std::atomic<bool> is_draining = false;
   std::atomic<bool> was_ready = false;
-  std::atomic<std::uint64_t> highest_heard = 0;
+  std::atomic<std::uint64_t> highest_received = 0;
   mutable std::mutex mutex;
   std::shared_ptr<const manifest::Manifest> newest;  // guarded by mutex
 };
--- a/src/entry_process/internal/request_trace.cc
+++ b/src/entry_process/internal/request_trace.cc
@@ -18,8 +18,8 @@
 const manifest::LatencyClass* ClassOf(const manifest::Manifest& manifest,
                                       const manifest::Service& service,
                                       const CallerName& caller,
-                                      const std::string& asked) {
-  if (const auto* by_request = FindClass(service, asked)) {
+                                      const std::string& requested) {
+  if (const auto* by_request = FindClass(service, requested)) {
     return by_request;
   }
   if (const manifest::CallerLimits* limits = manifest.FindCaller(caller)) {
--- a/src/entry_process/internal/request_trace.h
+++ b/src/entry_process/internal/request_trace.h
@@ -12,8 +12,8 @@
 
 namespace acacialug::entry_process {
 
-// What one request showed on its way, from which its latencies and its wasted
-// prefill work are told. Not thread safe.
+// Observations of one request from which its latencies and its wasted prefill
+// work are computed. Not thread safe.
 struct RequestTrace {
   std::string service;        // empty: no such service in the manifest
   std::string latency_class;  // empty as above
@@ -26,15 +26,15 @@
   std::uint64_t last_prefill_tokens = 0;
 
   void OnText(Instant now);
-  // Tokens that a prefill computed, without those found in the cache.
+  // Adds the tokens that a prefill computed, without those found in the cache.
   void OnPrefilled(std::uint64_t tokens);
 
   // From arrival to the first text; to `now` if none came (a plain call).
   Duration FirstToken(Instant now) const;
   // Between tokens, on average over the answer; zero below two tokens.
   Duration TokenInterval(std::uint32_t output_tokens) const;
-  // Of a request that completed: all prefills but the one that served it. Of
-  // one that did not: all.
+  // For a request that completed: all prefills except the one that served it.
+  // For a request that did not complete: all prefills.
   std::uint64_t WastedPrefill(bool completed) const;
 };
 
--- a/src/entry_process/internal/route.cc
+++ b/src/entry_process/internal/route.cc
@@ -95,7 +95,7 @@
   return text;
 }
 
-// `path` begins with '/'. A last empty segment (a closing '/') is fine.
+// `path` begins with '/'. An empty last segment (a trailing '/') is allowed.
 bool HasAmbiguousSegment(std::string_view path) {
   std::size_t begin = 1;
   while (begin <= path.size()) {
--- a/src/entry_process/internal/route.h
+++ b/src/entry_process/internal/route.h
@@ -39,20 +39,20 @@
 };
 
 // The route of a request line. Errors: kUnknownRoute, kMethodNotAllowed,
-// kMalformedRequest (a service's path that two readers may read differently).
+// kMalformedRequest (two readers may interpret the service's path differently).
 // Thread safe.
 Result<RouteMatch> FindRoute(std::string_view method, std::string_view target);
 
-// The value of the `Allow` header for a path; empty for one without a route
+// The value of the `Allow` header for a path; empty for a path without a route
 // and for a service, which takes any method. Thread safe.
 std::string_view AllowedMethods(std::string_view path);
 
-// One form for one path: escapes of unreserved characters are undone, and
+// The normal form of a path: escapes of unreserved characters are undone, and
 // "." or ".." segments, empty segments and broken escapes are refused with
-// kMalformedRequest. The manifest says by path prefix which calls may be
-// repeated; if a service saw "/issue" where this process saw
-// "/lookup/../issue" or "/%69ssue", a call that may run once would be judged
-// by the wrong rule and repeated. Thread safe.
+// kMalformedRequest. The manifest states by path prefix which calls may be
+// repeated; if a service read "/issue" where this process read
+// "/lookup/../issue" or "/%69ssue", a call that may run only once would be
+// judged by the wrong rule and repeated. Thread safe.
 Result<std::string> NormalizeServicePath(std::string_view path);
 
 }  // namespace acacialug::entry_process
--- a/src/entry_process/internal/service_call.cc
+++ b/src/entry_process/internal/service_call.cc
@@ -10,7 +10,7 @@
 namespace acacialug::entry_process {
 namespace {
 
-// Set anew at each hop, or meant for the router alone.
+// Headers that are set again at each hop, or are meant for the router alone.
 constexpr std::array<std::string_view, 6> kNotForwarded = {
     "host",           "content-length", "expect",
     kRequestIdHeader, kTicketHeader,    kDeadlineHeader};
--- a/src/entry_process/internal/service_call.h
+++ b/src/entry_process/internal/service_call.h
@@ -9,15 +9,15 @@
 
 namespace acacialug::entry_process {
 
-// The call as the service gets it: method, `target` and body as they came,
-// headers without those of one connection and those that are the router's
-// own; X-Request-Id is this request's. Thread safe.
+// The call as the service receives it: method, `target` and body are unchanged;
+// hop-by-hop headers and the router's own headers are left out; X-Request-Id is
+// this request's id. Thread safe.
 protocol::ServiceRequest MakeServiceRequest(http::Request request,
                                             std::string target,
                                             const RequestId& id);
 
-// The service's answer as the caller gets it, without the headers of one
-// connection, and without those that this process sets itself. Thread safe.
+// The service's answer as the caller receives it, without hop-by-hop headers
+// and without the headers that this process sets itself. Thread safe.
 http::Response MakeServiceResponse(protocol::ServiceAnswer answer,
                                    bool replayed);
 
--- a/src/entry_process/internal/service_level_book.cc
+++ b/src/entry_process/internal/service_level_recorder.cc
@@ -1,4 +1,4 @@
-#include "entry_process/internal/service_level_book.h"
+#include "entry_process/internal/service_level_recorder.h"
 
 #include <algorithm>
 
@@ -32,29 +32,29 @@
 
 }  // namespace
 
-ServiceLevelBook::ServiceLevelBook(const Options& book_options)
-    : options(book_options),
-      random(book_options.seed),
-      windows({}, book_options.clock()),
-      digests({.entry = book_options.entry,
-               .incarnation = book_options.incarnation,
-               .interval =
-                   service_levels::DigestInterval(book_options.live_entries)},
+ServiceLevelRecorder::ServiceLevelRecorder(const Options& recorder_options)
+    : options(recorder_options),
+      random(recorder_options.seed),
+      windows({}, recorder_options.clock()),
+      digests({.entry = recorder_options.entry,
+               .incarnation = recorder_options.incarnation,
+               .interval = service_levels::DigestInterval(
+                   recorder_options.live_entries)},
               this->random,
-              book_options.clock()) {}
+              recorder_options.clock()) {}
 
-void ServiceLevelBook::CountRequest(std::string_view service,
-                                    std::string_view latency_class,
-                                    const LevelCounts& counts) {
+void ServiceLevelRecorder::CountRequest(std::string_view service,
+                                        std::string_view latency_class,
+                                        const LevelCounts& counts) {
   this->Count({.service = std::string(service),
                .latency_class = std::string(latency_class)},
               counts);
 }
 
-void ServiceLevelBook::CountPrefill(std::string_view service,
-                                    std::uint64_t computed,
-                                    std::uint64_t wasted,
-                                    service_levels::Cause cause) {
+void ServiceLevelRecorder::CountPrefill(std::string_view service,
+                                        std::uint64_t computed,
+                                        std::uint64_t wasted,
+                                        service_levels::Cause cause) {
   LevelCounts counts{.total = computed,
                      .good = computed - std::min(computed, wasted)};
   if (wasted > 0) {
@@ -64,7 +64,8 @@
               counts);
 }
 
-void ServiceLevelBook::Count(const SeriesKey& key, const LevelCounts& counts) {
+void ServiceLevelRecorder::Count(const SeriesKey& key,
+                                 const LevelCounts& counts) {
   const std::scoped_lock lock(this->mutex);
   this->windows.Count(key, counts, this->options.clock());
   if (this->options.has_log) {
@@ -72,7 +73,8 @@
   }
 }
 
-std::string ServiceLevelBook::RenderPage(const manifest::Manifest* manifest) {
+std::string ServiceLevelRecorder::RenderPage(
+    const manifest::Manifest* manifest) {
   service_levels::LevelPage page{.entry = this->options.entry,
                                  .incarnation = this->options.incarnation};
   if (manifest != nullptr) {
@@ -88,28 +90,28 @@
   return service_levels::EncodeLevelPage(page);
 }
 
-std::optional<DigestAppend> ServiceLevelBook::OnDigestTimer(WallTime wall) {
+std::optional<DigestAppend> ServiceLevelRecorder::OnDigestTimer(WallTime wall) {
   const std::scoped_lock lock(this->mutex);
   return this->digests.OnTimer(this->options.clock(), wall);
 }
 
-std::optional<DigestAppend> ServiceLevelBook::FinishDigests(WallTime wall) {
+std::optional<DigestAppend> ServiceLevelRecorder::FinishDigests(WallTime wall) {
   const std::scoped_lock lock(this->mutex);
   return this->digests.Finish(this->options.clock(), wall);
 }
 
-void ServiceLevelBook::OnDigestAppended(std::uint64_t ticket, bool taken) {
+void ServiceLevelRecorder::OnDigestAppended(std::uint64_t ticket, bool taken) {
   const std::scoped_lock lock(this->mutex);
   this->digests.OnAppended(ticket, taken, this->options.clock());
 }
 
-Duration ServiceLevelBook::UntilDigestTimer() {
+Duration ServiceLevelRecorder::UntilDigestTimer() {
   const std::scoped_lock lock(this->mutex);
   return std::max(this->digests.next_timer() - this->options.clock(),
                   Duration::zero());
 }
 
-std::uint64_t ServiceLevelBook::missed_digests() {
+std::uint64_t ServiceLevelRecorder::missed_digests() {
   const std::scoped_lock lock(this->mutex);
   return this->digests.missed();
 }
--- a/src/entry_process/internal/service_level_book.h
+++ b/src/entry_process/internal/service_level_recorder.h
@@ -1,5 +1,5 @@
-#ifndef ENTRY_PROCESS_INTERNAL_SERVICE_LEVEL_BOOK_H_
-#define ENTRY_PROCESS_INTERNAL_SERVICE_LEVEL_BOOK_H_
+#ifndef ENTRY_PROCESS_INTERNAL_SERVICE_LEVEL_RECORDER_H_
+#define ENTRY_PROCESS_INTERNAL_SERVICE_LEVEL_RECORDER_H_
 
 #include <cstdint>
 #include <functional>
@@ -16,10 +16,10 @@
 
 namespace acacialug::entry_process {
 
-// How one entry keeps its service levels, all shards together: the windows of
-// its operations port and the digests for the log, under one lock that is
-// held for about a microsecond a request. Thread safe.
-class ServiceLevelBook {
+// Records the service levels of one entry, all shards together: the windows of
+// its operations port and the digests for the log, under one lock that is held
+// for about a microsecond a request. Thread safe.
+class ServiceLevelRecorder {
  public:
   struct Options {
     EntryId entry;
@@ -30,9 +30,10 @@
     std::function<Instant()> clock = MonotonicNow;
   };
 
-  explicit ServiceLevelBook(const Options& options);
+  explicit ServiceLevelRecorder(const Options& options);
 
-  // A request that ended. What is missed by two causes counts once.
+  // Records a request that ended. A request with two causes of a miss counts
+  // once.
   void CountRequest(std::string_view service,
                     std::string_view latency_class,
                     const service_levels::LevelCounts& counts);
@@ -51,7 +52,7 @@
   std::optional<service_levels::DigestAppend> FinishDigests(
       service_levels::WallTime wall);
   void OnDigestAppended(std::uint64_t ticket, bool taken);
-  // Until the digests' next timer; zero when it is over.
+  // The time until the digests' next timer; zero when it is due.
   Duration UntilDigestTimer();
   std::uint64_t missed_digests();
 
@@ -68,4 +69,4 @@
 
 }  // namespace acacialug::entry_process
 
-#endif  // ENTRY_PROCESS_INTERNAL_SERVICE_LEVEL_BOOK_H_
+#endif  // ENTRY_PROCESS_INTERNAL_SERVICE_LEVEL_RECORDER_H_
--- a/src/entry_process/internal/settings_reader.cc
+++ b/src/entry_process/internal/settings_reader.cc
@@ -23,7 +23,7 @@
   }
 }
 
-// An empty text stands for "not set".
+// An empty text means "not set".
 std::string ReadPath(const Table& table, std::string_view key) {
   return table.String(key, {.fallback = "", .minimum_bytes = 0});
 }
@@ -58,9 +58,10 @@
       ReadDuration(table, "ready_wait", into.ready_wait, Duration::zero());
 }
 
-// Whoever reaches the operations port may read it; to drain by it is another
-// matter. On a loopback address only this host's processes reach it; on any
-// other one it would let anybody on the network take the hosts out one by one.
+// Any client that reaches the operations port may read its pages, but a drain
+// needs more protection. On a loopback address only this host's processes reach
+// the port; on any other address every client on the network could take the
+// hosts out of service one by one.
 void ReadOperations(const Table& table, EntryProcessOptions& into) {
   const bool loopback =
       into.operations_listen && operations::IsLoopback(*into.operations_listen);
--- a/src/entry_process/internal/shard.cc
+++ b/src/entry_process/internal/shard.cc
@@ -43,9 +43,9 @@
   return trace::StepKind::kEndpointLost;
 }
 
-// An agent takes a second session of one entry for that entry's next start,
-// and ends the first with all that runs in it. So each shard is an entry of
-// its own to the agents.
+// An agent takes a second session of one entry as a restart of that entry, and
+// ends the first session with all that runs in it. Therefore each shard is a
+// separate entry to the agents.
 entry::EntryOptions CoreOptions(const Shard::Options& options,
                                 RandomSource& random) {
   entry::EntryOptions core = options.process.core;
@@ -61,8 +61,9 @@
         {.kind = StepOfProgress(note.progress), .endpoint = note.endpoint},
         note.at);
   };
-  // Also without a platform log: keys are then refused as not run, and only
-  // tickets run. Taking a key without a claim could run it on two entries.
+  // Also applies without a platform log: keys are then refused as not run, and
+  // only tickets run. Accepting a key without a claim could run it on two
+  // entries.
   core.make_once = [&random, retention = options.process.log_retention](
                        const entry::EntryOptions& entry_options) {
     return std::make_unique<entry::LogOnce>(
@@ -159,105 +160,110 @@
 }
 
 void Shard::Handle(http::Request request, http::ResponderPtr responder) {
-  Asked asked{.id = this->random.NextRequestId(),
-              .responder = std::move(responder)};
+  IncomingRequest incoming{.id = this->random.NextRequestId(),
+                           .responder = std::move(responder)};
   const std::string path(request.Path());
   Result<CallerHeaders> headers = ParseCallerHeaders(request.headers);
-  asked.identity = IdentityHeaders(
-      asked.id, headers.ok() ? headers->client_request_id : std::string());
+  incoming.identity = IdentityHeaders(
+      incoming.id, headers.ok() ? headers->client_request_id : std::string());
   if (!headers.ok()) {
-    this->Refuse(asked, path, headers.error());
+    this->Refuse(incoming, path, headers.error());
     return;
   }
-  asked.headers = std::move(headers.value());
-  Result<CallerAsk> ask = ReadCallerRequest(std::move(request), asked.id);
-  if (!ask.ok()) {
-    this->Refuse(asked, path, ask.error());
+  incoming.headers = std::move(headers.value());
+  Result<CallerRequest> content =
+      ReadCallerRequest(std::move(request), incoming.id);
+  if (!content.ok()) {
+    this->Refuse(incoming, path, content.error());
     return;
   }
-  std::visit([&](auto& kind) { this->Take(std::move(asked), std::move(kind)); },
-             ask.value());
+  std::visit(
+      [&](auto& kind) { this->Take(std::move(incoming), std::move(kind)); },
+      content.value());
 }
 
-void Shard::Refuse(const Asked& asked,
+void Shard::Refuse(const IncomingRequest& incoming,
                    std::string_view path,
                    const Error& error) {
   this->options.measures.OnBadRequest(error.result_code());
-  asked.responder->SendWhole(RenderRefusal(error, path, asked.identity));
+  incoming.responder->SendWhole(RenderRefusal(error, path, incoming.identity));
 }
 
-void Shard::Take(Asked asked, GenerationAsked generation) {
+void Shard::Take(IncomingRequest incoming, RequestedGeneration generation) {
   ParsedGeneration& parsed = generation.parsed;
   const manifest::Service* service =
       this->manifest == nullptr
           ? nullptr
           : this->manifest->FindServiceOfModel(parsed.generation.model);
-  if (asked.headers.caller.empty()) {
-    asked.headers.caller = CallerName(parsed.user);
+  if (incoming.headers.caller.empty()) {
+    incoming.headers.caller = CallerName(parsed.user);
   }
   if (service != nullptr && parsed.generation.max_tokens == 0) {
     parsed.generation.max_tokens = service->default_max_tokens;
   }
-  std::unique_ptr<GenerationAnswer> answer = this->MakeAnswer(asked, parsed);
-  entry::GenerationArrived arrived{.request = asked.id,
-                                   .caller = asked.headers.caller,
-                                   .latency_class = asked.headers.latency_class,
-                                   .generation = std::move(parsed.generation),
-                                   .prompt_text = std::move(parsed.prompt_text),
-                                   .deadline = asked.headers.deadline};
-  this->Begin(asked, service, trace::RequestKind::kGeneration).generation =
+  std::unique_ptr<GenerationAnswer> answer = this->MakeAnswer(incoming, parsed);
+  entry::GenerationArrived arrived{
+      .request = incoming.id,
+      .caller = incoming.headers.caller,
+      .latency_class = incoming.headers.latency_class,
+      .generation = std::move(parsed.generation),
+      .prompt_text = std::move(parsed.prompt_text),
+      .deadline = incoming.headers.deadline};
+  this->Begin(incoming, service, trace::RequestKind::kGeneration).generation =
       std::move(answer);
   this->Feed([&](Instant now) { this->core.OnGeneration(arrived, now); });
 }
 
 std::unique_ptr<GenerationAnswer> Shard::MakeAnswer(
-    const Asked& asked,
+    const IncomingRequest& incoming,
     const ParsedGeneration& parsed) {
   return std::make_unique<GenerationAnswer>(
-      asked.responder,
+      incoming.responder,
       GenerationAnswer::Options{
           .renderer = {.api = parsed.generation.api,
-                       .request = asked.id,
+                       .request = incoming.id,
                        .model = parsed.generation.model,
                        .created = UnixSeconds(),
                        .include_usage = parsed.include_usage},
           .stream = parsed.stream,
-          .identity = asked.identity,
+          .identity = incoming.identity,
           .limits = this->options.process.answers,
-          .on_delivered = [this, id = asked.id](std::uint64_t index) {
+          .on_delivered = [this, id = incoming.id](std::uint64_t index) {
             this->deliveries.push_back({.request = id, .index = index});
             this->ScheduleEndTurn();
           }});
 }
 
-void Shard::Take(Asked asked, CallAsked call) {
+void Shard::Take(IncomingRequest incoming, RequestedCall call) {
   const manifest::Service* service =
       this->manifest == nullptr ? nullptr
                                 : this->manifest->FindService(call.service);
-  entry::CallArrived arrived{.request = asked.id,
-                             .caller = asked.headers.caller,
-                             .latency_class = asked.headers.latency_class,
-                             .service = std::move(call.service),
-                             .call = std::move(call.call),
-                             .idempotency_key = asked.headers.idempotency_key,
-                             .ticket = asked.headers.ticket,
-                             .deadline = asked.headers.deadline};
-  this->Begin(asked, service, trace::RequestKind::kCall);
+  entry::CallArrived arrived{
+      .request = incoming.id,
+      .caller = incoming.headers.caller,
+      .latency_class = incoming.headers.latency_class,
+      .service = std::move(call.service),
+      .call = std::move(call.call),
+      .idempotency_key = incoming.headers.idempotency_key,
+      .ticket = incoming.headers.ticket,
+      .deadline = incoming.headers.deadline};
+  this->Begin(incoming, service, trace::RequestKind::kCall);
   this->Feed([&](Instant now) { this->core.OnCall(arrived, now); });
 }
 
-void Shard::Take(Asked asked, const PageAsked& page) {
+void Shard::Take(IncomingRequest incoming, const RequestedPage& page) {
   Result<http::Response> response = this->RenderPage(page);
   if (!response.ok()) {
-    this->Refuse(asked, {}, response.error());
+    this->Refuse(incoming, {}, response.error());
     return;
   }
   http::Headers& headers = response.value().headers;
-  headers.insert(headers.end(), asked.identity.begin(), asked.identity.end());
-  asked.responder->SendWhole(response.value());
+  headers.insert(headers.end(), incoming.identity.begin(),
+                 incoming.identity.end());
+  incoming.responder->SendWhole(response.value());
 }
 
-Result<http::Response> Shard::RenderPage(const PageAsked& page) {
+Result<http::Response> Shard::RenderPage(const RequestedPage& page) {
   if (page.route == Route::kHealth) {
     return RenderHealth();
   }
@@ -292,21 +298,22 @@
           .dump());
 }
 
-Shard::LiveRequest& Shard::Begin(Asked& asked,
+Shard::LiveRequest& Shard::Begin(IncomingRequest& incoming,
                                  const manifest::Service* service,
                                  trace::RequestKind kind) {
   const Instant now = MonotonicNow();
-  LiveRequest& live = this->live_requests[asked.id];
-  live.responder = asked.responder;
-  live.identity = asked.identity;
-  live.trace = BeginTrace(this->manifest.get(), service, asked.headers.caller,
-                          asked.headers.latency_class, now);
-  this->board.traces().Begin({.request = asked.id,
+  LiveRequest& live = this->live_requests[incoming.id];
+  live.responder = incoming.responder;
+  live.identity = incoming.identity;
+  live.trace =
+      BeginTrace(this->manifest.get(), service, incoming.headers.caller,
+                 incoming.headers.latency_class, now);
+  this->board.traces().Begin({.request = incoming.id,
                               .kind = kind,
                               .service = live.trace.service,
                               .latency_class = live.trace.latency_class},
                              now);
-  live.responder->SetOnGone([this, id = asked.id] { this->OnGone(id); });
+  live.responder->SetOnGone([this, id = incoming.id] { this->OnGone(id); });
   return live;
 }
 
@@ -323,8 +330,9 @@
                            ResultCode::kCancelled, MonotonicNow());
 }
 
-// An action may lead to another input of the core (a caller found gone while
-// it is answered); its actions then follow those already taken, in order.
+// An action may cause another input of the core (a caller is found gone while
+// it is answered); the actions of that input follow those already taken, in
+// order.
 void Shard::Pump() {
   if (this->pumping) {
     return;
@@ -342,8 +350,9 @@
   this->ArmTimer();
 }
 
-// The core's next instant moves with every frame; the event loop's timer is
-// only set anew when it moves earlier, and found too early when it fires.
+// The core's next timer changes with every frame. The event loop's timer is set
+// again only when the next timer becomes earlier; otherwise it fires early and
+// is armed again.
 void Shard::ArmTimer() {
   const Instant next = this->core.next_timer();
   if (next >= this->armed_for) {
@@ -384,8 +393,8 @@
 void Shard::EndTurn() {
   this->end_turn_scheduled = false;
   this->FlushDirty();
-  // Told only now, from outside of the answers: what the core does next may
-  // end the very answer that told.
+  // Reported only now, outside of the answers: the core's next action may end
+  // the very answer that reported the delivery.
   this->Feed([this](Instant now) {
     for (const Delivery& delivery : std::exchange(this->deliveries, {})) {
       this->core.OnDelivered(delivery.request, delivery.index, now);
--- a/src/entry_process/internal/shard.h
+++ b/src/entry_process/internal/shard.h
@@ -41,7 +41,7 @@
     EntryMeasures& measures;
     log::RepeatLimiter& log_limiter;
     std::function<void(LogOffset offset)> on_manifest_heard;
-    // A session with an agent has opened, or has ended or been given up.
+    // A session with an agent was opened, or has ended or been abandoned.
     std::function<void(const heartbeat::OpenSession& session,
                        std::uint16_t heartbeat_port)>
         on_session_opened;
@@ -52,7 +52,7 @@
   explicit Shard(const Options& options);
   ~Shard();
 
-  // Takes one request; the answer comes by `responder`, at once or later.
+  // Takes one request; the answer goes to `responder`, at once or later.
   void Handle(http::Request request, http::ResponderPtr responder);
 
   void SetManifest(std::shared_ptr<const manifest::Manifest> newest);
@@ -63,7 +63,7 @@
   void SetRenewInterval(Duration interval);
 
  private:
-  struct Asked {
+  struct IncomingRequest {
     RequestId id;
     CallerHeaders headers;
     http::Headers identity;
@@ -81,19 +81,21 @@
     std::uint64_t index = 0;
   };
 
-  void Take(Asked asked, GenerationAsked generation);
-  void Take(Asked asked, CallAsked call);
-  void Take(Asked asked, const PageAsked& page);
-  void Refuse(const Asked& asked, std::string_view path, const Error& error);
-  LiveRequest& Begin(Asked& asked,
+  void Take(IncomingRequest incoming, RequestedGeneration generation);
+  void Take(IncomingRequest incoming, RequestedCall call);
+  void Take(IncomingRequest incoming, const RequestedPage& page);
+  void Refuse(const IncomingRequest& incoming,
+              std::string_view path,
+              const Error& error);
+  LiveRequest& Begin(IncomingRequest& incoming,
                      const manifest::Service* service,
                      trace::RequestKind kind);
-  std::unique_ptr<GenerationAnswer> MakeAnswer(const Asked& asked,
+  std::unique_ptr<GenerationAnswer> MakeAnswer(const IncomingRequest& incoming,
                                                const ParsedGeneration& parsed);
-  Result<http::Response> RenderPage(const PageAsked& page);
+  Result<http::Response> RenderPage(const RequestedPage& page);
   Result<http::Response> IssueTicket(const ServiceName& service);
 
-  // Runs `input` on the core and carries out what it asks for.
+  // Runs `input` on the core and carries out the actions that follow.
   template <typename Input>
   void Feed(Input input) {
     input(MonotonicNow());
@@ -103,8 +105,8 @@
   void ArmTimer();
   void OnTimer();
   void MarkDirty(const RequestId& id, LiveRequest& live);
-  // Schedules EndTurn, which runs after the sockets that are readable in this
-  // turn of the event loop were all read.
+  // Schedules EndTurn, which runs after all sockets that are readable in this
+  // iteration of the event loop were read.
   void ScheduleEndTurn();
   void EndTurn();
   void FlushDirty();
@@ -141,7 +143,7 @@
   std::shared_ptr<const manifest::Manifest> manifest;
   std::unordered_map<RequestId, LiveRequest> live_requests;
   std::vector<RequestId> dirty_requests;
-  std::vector<Delivery> deliveries;  // told by answers, not yet to the core
+  std::vector<Delivery> deliveries;  // reported by answers, not yet to the core
   QObject context;  // ends what is queued on the event loop with the shard
   QTimer timer;
   Instant armed_for = kNever;
--- a/src/entry_process/internal/shard_actions.cc
+++ b/src/entry_process/internal/shard_actions.cc
@@ -1,5 +1,5 @@
-// The part of a shard that carries out what its core asks for, and that hears
-// the agents.
+// The part of a shard that carries out the actions of its core and receives the
+// agents' messages.
 #include <algorithm>
 #include <utility>
 #include <variant>
@@ -48,7 +48,7 @@
     this->links.Connect(action.endpoint, record->agent);
     return;
   }
-  // Told later: the core is in the middle of asking.
+  // Reported later, since the core is still producing its actions.
   QMetaObject::invokeMethod(
       &this->context,
       [this, endpoint = action.endpoint] {
@@ -191,7 +191,7 @@
           this->board.SetLoad(endpoint, kind.load);
         }
         if constexpr (requires { kind.manifest; }) {
-          if (this->options.state.NoteManifestHeard(kind.manifest)) {
+          if (this->options.state.NoteManifestOffset(kind.manifest)) {
             this->options.on_manifest_heard(kind.manifest);
           }
         }
--- a/src/entry_process/manifest_source.h
+++ b/src/entry_process/manifest_source.h
@@ -17,16 +17,16 @@
 
 namespace acacialug::entry_process {
 
-// Where an entry's manifests come from: a file, or the platform's log. Lives
+// Supplies an entry's manifests from a file or from the platform's log. Lives
 // on the main thread with a Qt event loop; hooks run there.
 class ManifestSource {
  public:
   struct Options {
     std::string file;  // empty: from `log`
     std::unique_ptr<cluster::ILog> log;
-    std::string author;                // of checkpoints
+    std::string author;                // written into checkpoints
     Duration log_retention{};          // checkpoints are made well within it
-    std::vector<http::Address> peers;  // asked while the log is out
+    std::vector<http::Address> peers;  // queried while the log is unreachable
     // `text` is empty for a file, which peers cannot use.
     std::function<void(std::shared_ptr<const manifest::Manifest>,
                        const std::string& text)>
@@ -36,20 +36,21 @@
   // `random` outlives this object.
   ManifestSource(Options options, RandomSource& random);
 
-  // Hands on the file's manifest at once, or the log's newest when it is
-  // known to be that. Errors (of a file): kSettingsUnreadable and those of
-  // manifest::ParseManifest.
+  // Passes on the file's manifest at once, or the log's newest manifest when it
+  // is known to be the newest. Errors (of a file): kSettingsUnreadable and
+  // those of manifest::ParseManifest.
   Status Start();
 
-  // Reads a file anew; with a log, nothing: it is followed. Errors as Start.
+  // Reads the file again. Does nothing with a log, which is followed
+  // continuously. Errors as Start.
   Status Reload();
 
-  // An agent spoke of a manifest at this offset.
+  // An agent reported a manifest at this offset.
   void OnPeerOffset(LogOffset offset);
 
  private:
   void FollowLog();
-  void HandOn();
+  void PassManifestOn();
 
   Options options;
   RandomSource& random;
--- a/src/entry_process/metric_definitions.h
+++ b/src/entry_process/metric_definitions.h
@@ -3,8 +3,8 @@
 
 #include "framework/metrics/types/definition.h"
 
-// The metrics of an entry process, for it and for those that read them
-// (reports, the bench).
+// The metrics of an entry process, used by the process and by the readers of
+// its metrics (reports, the bench).
 namespace acacialug::entry_process {
 
 // Label `outcome`: completed, not_run, unknown or caller_gone.
@@ -62,7 +62,8 @@
     .name = "acacialug_agent_connections_closed_total",
     .help = "Connections to agents that were lost or closed for a fault",
     .labels = {"code"}};
-// With 28 bytes of headers each. Label `direction`: sent or received.
+// Includes 28 bytes of headers for each datagram. Label `direction`: sent or
+// received.
 inline constexpr metrics::CounterDefinition kHeartbeatBytesTotal = {
     .name = "acacialug_heartbeat_bytes_total",
     .help = "Bytes of heartbeats and answers, with headers of UDP and IP",
--- a/src/entry_process/platform_log.h
+++ b/src/entry_process/platform_log.h
@@ -8,8 +8,9 @@
 
 namespace acacialug::entry_process {
 
-// The platform's log with an HTTP client of its own, so that each thread can
-// have one. Thread: the one that makes it, with a Qt event loop.
+// Makes a client of the platform's log with its own HTTP client, so that each
+// thread can have one. It is used on the thread that makes it, with a Qt event
+// loop.
 std::unique_ptr<cluster::ILog> MakePlatformLog(const http::Address& address);
 
 }  // namespace acacialug::entry_process
--- a/src/entry_process/settings_reader.h
+++ b/src/entry_process/settings_reader.h
@@ -8,8 +8,8 @@
 
 namespace acacialug::entry_process {
 
-// Reads the settings into `entry_settings`; no problems means good, and only
-// then are the settings to be used. Thread safe.
+// Reads the settings into `entry_settings`, which may be used only if the
+// returned list of problems is empty. Thread safe.
 std::vector<settings::Problem> ReadEntrySettings(settings::Reader reader,
                                                  EntrySettings& entry_settings);
 
--- a/src/entry_process/tests/agent_links_test.cc
+++ b/src/entry_process/tests/agent_links_test.cc
@@ -99,7 +99,7 @@
            fixture.channels[1]->hooks.on_frame(kGoodFrame);
            CPPUNIT_ASSERT_EQUAL(1, fixture.messages);
          }),
-     It("say once that a connection is lost, and drop what it says later",
+     It("report once that a connection is lost, and drop its later messages",
         [] {
           Fixture fixture;
           fixture.Connect(kFirst);
@@ -112,10 +112,10 @@
           CPPUNIT_ASSERT_EQUAL(1, fixture.connected);
           CPPUNIT_ASSERT(fixture.closed.size() == 1 && fixture.messages == 0);
         }),
-     // Symptom: a healthy connection is taken for lost. Sequence: an endpoint
-     // is connected anew; the old connection's end is told after that. Cause:
-     // connections known by endpoint alone.
-     It("tell an old connection of an endpoint from its new one",
+     // Guards against a healthy connection being treated as lost when an
+     // endpoint reconnects and the end of its old connection is reported after
+     // that. It happens if connections are identified by endpoint alone.
+     It("distinguish an old connection of an endpoint from its new one",
         [] {
           Fixture fixture;
           fixture.Connect(kFirst);
@@ -130,7 +130,7 @@
           CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                                fixture.channels[1]->sent.size());
         }),
-     It("drop what goes to an endpoint without a connection", [] {
+     It("drop messages to an endpoint without a connection", [] {
        Fixture fixture;
        fixture.links.Send(kFirst, protocol::Renew{});
        fixture.links.Drop(kFirst);
@@ -160,49 +160,52 @@
          [](const AppendRow& row) {
            auto log = std::make_unique<FakeLog>();
            FakeLog& fake = *log;
-           entry::ClaimsAppended told;
+           entry::ClaimsAppended reported;
            ClaimsLog claims(
                std::move(log),
                {.on_appended = [&](const entry::ClaimsAppended& appended) {
-                 told = appended;
+                 reported = appended;
                }});
            claims.Append({.ticket = entry::LogTicket(4)});
            fake.append_done(row.result);
-           CPPUNIT_ASSERT(told.ticket == entry::LogTicket(4));
-           CPPUNIT_ASSERT(told.outcome == row.outcome);
+           CPPUNIT_ASSERT(reported.ticket == entry::LogTicket(4));
+           CPPUNIT_ASSERT(reported.outcome == row.outcome);
            CPPUNIT_ASSERT(row.outcome != entry::AppendOutcome::kAppended ||
-                          told.offset == LogOffset(9));
+                          reported.offset == LogOffset(9));
          }),
-     It("are read with the log's bounds, or told unreachable",
+     It("are read with the log's bounds, or reported as unreachable",
         [] {
           auto log = std::make_unique<FakeLog>();
           FakeLog& fake = *log;
-          entry::ClaimsRead told;
-          ClaimsLog claims(
-              std::move(log),
-              {.on_read = [&](const entry::ClaimsRead& read) { told = read; }});
+          entry::ClaimsRead reported;
+          ClaimsLog claims(std::move(log),
+                           {.on_read = [&](const entry::ClaimsRead& read) {
+                             reported = read;
+                           }});
           claims.Read({.ticket = entry::LogTicket(1)});
           fake.read_done(cluster::ILog::Read{
               .first_kept = LogOffset(2),
               .next = LogOffset(4),
               .records = {{.offset = LogOffset(3), .payload = "p"}}});
-          CPPUNIT_ASSERT(told.reachable && told.next == LogOffset(4));
-          CPPUNIT_ASSERT_EQUAL(std::string("p"), told.records.at(0).payload);
+          CPPUNIT_ASSERT(reported.reachable && reported.next == LogOffset(4));
+          CPPUNIT_ASSERT_EQUAL(std::string("p"),
+                               reported.records.at(0).payload);
           claims.Read({.ticket = entry::LogTicket(2)});
           fake.read_done(Error(ResultCode::kPlatformUnavailable));
-          CPPUNIT_ASSERT(!told.reachable && told.ticket == entry::LogTicket(2));
+          CPPUNIT_ASSERT(!reported.reachable &&
+                         reported.ticket == entry::LogTicket(2));
         }),
-     It("are not appended without a log, told later", [] {
-       std::vector<entry::AppendOutcome> told;
+     It("are not appended without a log, and this is reported later", [] {
+       std::vector<entry::AppendOutcome> reported;
        ClaimsLog claims(
            nullptr, {.on_appended = [&](const entry::ClaimsAppended& appended) {
-             told.push_back(appended.outcome);
+             reported.push_back(appended.outcome);
            }});
        claims.Append({});
-       CPPUNIT_ASSERT(told.empty());
+       CPPUNIT_ASSERT(reported.empty());
        QCoreApplication::processEvents();
-       CPPUNIT_ASSERT(told == std::vector<entry::AppendOutcome>{
-                                  entry::AppendOutcome::kNotAppended});
+       CPPUNIT_ASSERT(reported == std::vector<entry::AppendOutcome>{
+                                      entry::AppendOutcome::kNotAppended});
      })});
 
 }  // namespace
--- a/src/entry_process/tests/bad_input_test.cc
+++ b/src/entry_process/tests/bad_input_test.cc
@@ -55,10 +55,11 @@
           {"DELETE", "/v1/models/review-1", ResultCode::kMethodNotAllowed},
           {"POST", "/healthz", ResultCode::kMethodNotAllowed},
           {"post", "/v1/completions", ResultCode::kMethodNotAllowed},
-          // Symptom: a registration ran twice. Sequence: POST
-          // /lookup/../issue matched the rule "POST /lookup is idempotent"; the
-          // service resolved the dots and ran /issue; its answer was lost, and
-          // the call was repeated. Cause: two readings of one path.
+          // Guards against a registration that runs twice: POST
+          // /lookup/../issue matches the rule "POST /lookup is idempotent", the
+          // service resolves the dots and runs /issue, its answer is lost, and
+          // the call is repeated. It happens if two readers interpret one path
+          // differently.
           {"POST", "/services/app/lookup/../issue",
            ResultCode::kMalformedRequest},
           {"POST", "/services/app/lookup/%2e%2E/issue",
@@ -135,7 +136,7 @@
                       ResultCode::kInvalidHeader,
                       "Idempotency-Key: given twice");
         }),
-     It("are read, others passed over", [] {
+     It("are read, and other headers are ignored", [] {
        const Result<CallerHeaders> read =
            ParseCallerHeaders({{"x-caller", "printer-7"},
                                {"X-DEADLINE-MS", "1500"},
--- a/src/entry_process/tests/connection_test.cc
+++ b/src/entry_process/tests/connection_test.cc
@@ -27,9 +27,9 @@
 
 const testing::Story kConnections(
     "a caller's connection to an entry",
-    {// Symptom: one caller's tokens inside another's answer. Sequence: a client
-     // pipelines a stream and a call; the call is answered first. Cause:
-     // requests of one connection served at once.
+    {// Guards against one caller's tokens inside another answer: a client
+     // pipelines a stream and a call, and the call is answered first because
+     // requests of one connection are served concurrently.
      It("gets pipelined answers whole and in order, the slow one first",
         [] {
           std::optional<AttemptId> held;
@@ -70,10 +70,10 @@
                                   "Connection: close\r\n"));
           CPPUNIT_ASSERT(caller.AwaitClose().ends_with("GET /x "));
         }),
-     // Symptom: engine memory held, and the entry's memory growing, for a
-     // caller that has stopped reading. Sequence: its socket's buffers fill;
-     // pieces are no longer reported delivered; the agent's window closes.
-     // Cause of the cut: nothing taken for stall_timeout.
+     // Guards against engine memory held, and the entry's memory growing, for a
+     // caller that has stopped reading: its socket's buffers fill, chunks are
+     // no longer reported as delivered, and the agent's window closes. The
+     // connection is cut when the caller has taken nothing for stall_timeout.
      It("that is not read is cut, and its engine freed",
         [] {
           constexpr std::uint64_t kWindow = 16;
@@ -105,31 +105,34 @@
           CPPUNIT_ASSERT(caller.AwaitClose().find("[DONE]") ==
                          std::string::npos);
         }),
-     It("under TLS serves the same, and a plain one not",
+     It("under TLS serves the same, and a plain connection is not served",
         [] {
           Fixture fixture(
               {}, [](EntryProcessOptions& options) { options.tls = HostTls(); },
               HostTls());
           CPPUNIT_ASSERT_EQUAL(
-              200, fixture.Ask("POST", "/v1/chat/completions", kChat)->status);
+              200, fixture.SendAndWait("POST", "/v1/chat/completions", kChat)
+                       ->status);
           RawPeer plain(fixture.process->port());
           plain.Send(RequestText("GET /healthz HTTP/1.1", ""));
           CPPUNIT_ASSERT(plain.AwaitClose().find("HTTP") == std::string::npos);
         }),
-     It("is refused beyond the limit, with a code, and taken again later", [] {
-       Fixture fixture({}, [](EntryProcessOptions& options) {
-         options.limits.max_connections = 2;
-       });
-       {
-         RawPeer first(fixture.process->port());
-         RawPeer second(fixture.process->port());
-         RawPeer third(fixture.process->port());
-         CPPUNIT_ASSERT(third.AwaitClose().find("\"number\":1009") !=
-                        std::string::npos);
-       }
-       WaitUntil("a free place",
-                 [&] { return fixture.Ask("GET", "/healthz")->status == 200; });
-     })});
+     It("is refused beyond the limit, with a code, and accepted again later",
+        [] {
+          Fixture fixture({}, [](EntryProcessOptions& options) {
+            options.limits.max_connections = 2;
+          });
+          {
+            RawPeer first(fixture.process->port());
+            RawPeer second(fixture.process->port());
+            RawPeer third(fixture.process->port());
+            CPPUNIT_ASSERT(third.AwaitClose().find("\"number\":1009") !=
+                           std::string::npos);
+          }
+          WaitUntil("a free place", [&] {
+            return fixture.SendAndWait("GET", "/healthz")->status == 200;
+          });
+        })});
 
 }  // namespace
 }  // namespace acacialug::entry_process
--- a/src/entry_process/tests/digest_appender_test.cc
+++ b/src/entry_process/tests/digest_appender_test.cc
@@ -19,7 +19,7 @@
 using service_levels::WallTime;
 using testing::It;
 
-// What a log was asked to append, and how it answers.
+// The requested appends of a log, and its answer.
 struct LogScript {
   std::vector<std::string> records;
   std::optional<Result<LogOffset>> answer = LogOffset(1);  // none: never
@@ -73,18 +73,18 @@
 
 struct Keeper {
   Instant now = Instant(1000s);
-  ServiceLevelBook book{{.entry = EntryId("entry-1"),
-                         .has_log = true,
-                         .clock = [this] { return this->now; }}};
+  ServiceLevelRecorder recorder{{.entry = EntryId("entry-1"),
+                                 .has_log = true,
+                                 .clock = [this] { return this->now; }}};
   std::shared_ptr<LogScript> script = std::make_shared<LogScript>();
 
   DigestAppender MakeAppender() {
-    return DigestAppender({.book = this->book,
+    return DigestAppender({.recorder = this->recorder,
                            .log = std::make_unique<ScriptedLog>(this->script),
                            .finish_timeout = 1ms});
   }
   void CountOne() {
-    this->book.CountRequest("lm", "desk", {.total = 1, .good = 1});
+    this->recorder.CountRequest("lm", "desk", {.total = 1, .good = 1});
   }
 };
 
@@ -95,7 +95,7 @@
 
 const testing::Story kAppender(
     "an entry's digests",
-    {It("go to the log when their time has come",
+    {It("go to the log when they are due",
         [] {
           Keeper keeper;
           keeper.CountOne();
@@ -106,10 +106,10 @@
           CPPUNIT_ASSERT(Requests(Fold(keeper.script->records), "lm", "desk") ==
                          1);
         }),
-     // Symptom: a host that is replaced takes its last minutes, or its whole
-     // drain, with it. Sequence: SIGTERM, the last answer, the end; the log is
-     // out. Cause: no digest of the open window, or a wait for the log's
-     // answer without an end.
+     // Guards against the loss of a host's last minutes, or of its whole drain,
+     // when the host is replaced: SIGTERM, the last answer and the end follow
+     // while the log is unreachable. It happens if no digest is made of the
+     // open window, or if the wait for the log's answer is unbounded.
      testing::ForEach<EndRow>(
          "are appended at the end, which is not held back by a log that",
          {{"answers", LogOffset(1)},
@@ -128,7 +128,7 @@
            testing::WaitUntil("the end", [&] { return finished; });
            CPPUNIT_ASSERT(keeper.script->records.size() == 1);
          }),
-     It("hold back no end when there is nothing to append",
+     It("do not delay the end when there is nothing to append",
         [] {
           Keeper keeper;
           DigestAppender appender = keeper.MakeAppender();
@@ -141,7 +141,7 @@
         [] {
           Keeper keeper;
           metrics::Registry registry;
-          EntryMeasures measures(registry, &keeper.book);
+          EntryMeasures measures(registry, &keeper.recorder);
           RequestTrace late{.service = "lm",
                             .latency_class = "desk",
                             .first_token_target = 1s,
@@ -151,14 +151,14 @@
           measures.OnGenerationCompleted(late, 1, late.arrived + 2s);
           measures.OnError(late, ResultCode::kOverloaded,
                            protocol::Outcome::kNotRun);
-          // Its caller's own doing: no service missed anything.
+          // Caused by the caller itself, so no service missed a target.
           measures.OnError(late, ResultCode::kCallerOverLimit,
                            protocol::Outcome::kNotRun);
           measures.OnError(late, ResultCode::kKeyRequired,
                            protocol::Outcome::kNotRun);
           measures.OnCallerGone(late);
           measures.OnLatePrefill("lm", 5);
-          const auto append = keeper.book.FinishDigests(WallTime());
+          const auto append = keeper.recorder.FinishDigests(WallTime());
           const auto& series = append->digest.windows.at(0).series;
           const auto& requests =
               series.at({.service = "lm", .latency_class = "desk"});
@@ -178,7 +178,7 @@
               return std::make_unique<ScriptedLog>(script);
             };
           });
-          fixture.Ask("POST", "/v1/chat/completions", kChat);
+          fixture.SendAndWait("POST", "/v1/chat/completions", kChat);
           const auto answer = fixture.Send(
               {.method = "GET", .target = service_levels::kLevelPagePath},
               fixture.process->operations_port());
--- a/src/entry_process/tests/entry_process_test.cc
+++ b/src/entry_process/tests/entry_process_test.cc
@@ -36,8 +36,9 @@
     {It("answers a chat whole, through prefill and decode",
         [] {
           Fixture fixture;
-          const auto answer = fixture.Ask("POST", "/v1/chat/completions", kChat,
-                                          {{"X-Request-Id", "mine"}});
+          const auto answer =
+              fixture.SendAndWait("POST", "/v1/chat/completions", kChat,
+                                  {{"X-Request-Id", "mine"}});
           CPPUNIT_ASSERT_EQUAL_MESSAGE(answer->body, 200, answer->status);
           const json body = json::parse(answer->body);
           CPPUNIT_ASSERT(body["choices"][0]["message"]["content"] ==
@@ -52,17 +53,18 @@
      It("streams a completion to its [DONE]",
         [] {
           Fixture fixture;
-          const auto answer = fixture.Ask("POST", "/v1/completions", kStreamed);
+          const auto answer =
+              fixture.SendAndWait("POST", "/v1/completions", kStreamed);
           CPPUNIT_ASSERT(answer->body.ends_with("data: [DONE]\n\n"));
           CPPUNIT_ASSERT(
               (TextsOf(answer->body) ==
                std::vector<std::string>{"one ", "two ", "three", ""}));
         }),
-     It("passes a call to its service and the answer back",
+     It("passes a call to its service and returns the answer",
         [] {
           Fixture fixture;
           const auto answer =
-              fixture.Ask("PUT", "/services/app/a/b?c=%20d", "e");
+              fixture.SendAndWait("PUT", "/services/app/a/b?c=%20d", "e");
           CPPUNIT_ASSERT_EQUAL(200, answer->status);
           CPPUNIT_ASSERT_EQUAL(std::string("PUT /a/b?c=%20d e"), answer->body);
           CPPUNIT_ASSERT_EQUAL(std::string("completed"),
@@ -70,7 +72,7 @@
         }),
      It("shows its pages on the operations port", [] {
        Fixture fixture;
-       fixture.Ask("POST", "/v1/chat/completions", kChat);
+       fixture.SendAndWait("POST", "/v1/chat/completions", kChat);
        const auto page = [&](const char* path) {
          auto exchange = fixture.Send({.method = "GET", .target = path},
                                       fixture.process->operations_port());
@@ -138,7 +140,7 @@
            ResultCode::kKeyRequired}};
       for (const BadRequest& row : rows) {
         const auto answer =
-            fixture.Ask(row.method, row.target, row.body, {row.header});
+            fixture.SendAndWait(row.method, row.target, row.body, {row.header});
         const std::string name(ResultCodeName(row.code));
         CPPUNIT_ASSERT_EQUAL_MESSAGE(name, row.status, answer->status);
         CPPUNIT_ASSERT_EQUAL(
@@ -148,14 +150,15 @@
         CPPUNIT_ASSERT(answer->Header("X-Outcome") == "not_run");
       }
       CPPUNIT_ASSERT_EQUAL(
-          200, fixture.Ask("POST", "/v1/chat/completions", kChat)->status);
+          200,
+          fixture.SendAndWait("POST", "/v1/chat/completions", kChat)->status);
     })});
 
 const testing::Story kFailures(
-    "an entry process whose world fails",
-    {// Symptom: engine memory held for nobody. Sequence: a caller hangs up in
-     // mid-stream. Cause: the agents are not told.
-     It("cancels at its agents what a caller has left",
+    "an entry process whose callers or agents fail",
+    {// Guards against engine memory held without a caller: a caller closes its
+     // connection in mid-stream, and the agents are not notified.
+     It("cancels at its agents the requests that a caller has left",
         [] {
           std::optional<AttemptId> held;
           Fixture fixture(HoldDecode(held));
@@ -170,24 +173,26 @@
             return fixture.decode->CountReceived<protocol::Cancel>() == 1;
           });
         }),
-     // Symptom: all requests of an entry end at once. Sequence: one agent sends
-     // a frame that cannot be decoded. Cause: the fault ends more than its own
-     // connection.
+     // Guards against the end of all requests of an entry when one agent sends
+     // a frame that cannot be decoded: the fault must end only the connection
+     // that brought it.
      It("loses only the connection that brought a bad frame",
         [] {
           Fixture fixture;
           fixture.plain.SendRaw("no frame of ours");
           CPPUNIT_ASSERT_EQUAL(
-              200, fixture.Ask("POST", "/v1/chat/completions", kChat)->status);
+              200, fixture.SendAndWait("POST", "/v1/chat/completions", kChat)
+                       ->status);
           WaitUntil("it", [&] {
             return fixture.plain.CountReceived<protocol::Hello>() == 2;
           });
           CPPUNIT_ASSERT_EQUAL(
-              200, fixture.Ask("GET", "/services/app/lookup")->status);
+              200, fixture.SendAndWait("GET", "/services/app/lookup")->status);
         }),
-     // Symptom: a deployment cuts answers. Sequence: SIGTERM in mid-stream.
-     // Cause: the process ends, or closes, before its answers do.
-     It("that drains lets answers under way end, and then says so",
+     // Guards against answers cut by a deployment: after SIGTERM in mid-stream
+     // the process ends, or closes its connections, before the answers are
+     // complete.
+     It("that drains lets running answers end, and then reports it",
         [] {
           std::optional<AttemptId> held;
           Fixture fixture(HoldDecode(held));
@@ -211,7 +216,7 @@
           CPPUNIT_ASSERT(stream->ended &&
                          stream->body.ends_with("data: [DONE]\n\n"));
         }),
-     It("that cannot drain in time says that it is not whole", [] {
+     It("that cannot drain in time reports that it is not whole", [] {
        std::optional<AttemptId> held;
        Fixture fixture(HoldDecode(held), [](EntryProcessOptions& options) {
          options.drain_grace = 1ms;
--- a/src/entry_process/tests/fake_agent.h
+++ b/src/entry_process/tests/fake_agent.h
@@ -15,31 +15,31 @@
 
 namespace acacialug::entry_process {
 
-// An agent on a real socket that grants whatever it is asked. Lives on the
-// test's thread, with its event loop.
+// An agent on a real socket that grants every request. Lives on the test's
+// thread, with its event loop.
 class FakeAgent {
  public:
   struct Options {
     manifest::Endpoint endpoint;  // `agent` is filled in
     Incarnation incarnation{77};
-    // What becomes of heartbeats; empty: takes none.
+    // Handles heartbeats; empty: the agent takes none.
     std::function<bool(const protocol::Heartbeat& heartbeat)> answers;
     std::vector<std::string> chunks = {"one ", "two ", "three"};
-    // False: the test answers by itself.
+    // False: the test sends the answers itself.
     std::function<bool(const protocol::EntryToAgent& message)> takes;
   };
 
   explicit FakeAgent(Options options);
 
-  // The manifest's record, with the address that this agent listens on.
+  // The manifest's record, with the address on which this agent listens.
   const manifest::Endpoint& endpoint() const { return this->options.endpoint; }
 
-  // To the entry's shard that spoke last.
+  // Sends to the shard that sent the last message.
   void Send(const protocol::AgentToEntry& message);
   void SendRaw(std::string_view payload);
   void CloseChannels();
 
-  // What entries sent, in order.
+  // The messages that entries sent, in order.
   std::vector<protocol::EntryToAgent> received;
 
   // Chunks that the entry has acknowledged, of the last stream.
--- a/src/entry_process/tests/fake_log.h
+++ b/src/entry_process/tests/fake_log.h
@@ -9,7 +9,7 @@
 
 namespace acacialug::entry_process {
 
-// A log that answers when told to.
+// A log that answers when the test triggers it.
 class FakeLog : public cluster::ILog {
  public:
   void Append(const std::string&,
--- a/src/entry_process/tests/fake_responder.h
+++ b/src/entry_process/tests/fake_responder.h
@@ -10,7 +10,7 @@
 
 namespace acacialug::entry_process {
 
-// A caller's side that keeps what it gets. `unsent` is the test's to set.
+// A caller's side that keeps what it receives. The test sets `unsent`.
 class FakeResponder : public http::Responder {
  public:
   void SendWhole(const http::Response& response) override {
--- a/src/entry_process/tests/generation_answer_test.cc
+++ b/src/entry_process/tests/generation_answer_test.cc
@@ -39,7 +39,7 @@
 
 const testing::Story kStreamed(
     "a streamed generation",
-    {It("writes what came in one turn at once, then reports it delivered",
+    {It("writes the texts of one turn at once, then reports them",
         [] {
           Fixture fixture(true);
           CPPUNIT_ASSERT(fixture.answer->AddText(0, "a"));
@@ -55,7 +55,7 @@
               std::string(*http::FindHeader(
                   fixture.caller->stream_head->headers, "x-request-id")));
         }),
-     It("ends with what was not yet written and [DONE]",
+     It("ends with the texts not yet written and [DONE]",
         [] {
           Fixture fixture(true);
           fixture.answer->AddText(0, "a");
@@ -65,9 +65,9 @@
                          std::string::npos);
           CPPUNIT_ASSERT(fixture.caller->data.ends_with("data: [DONE]\n\n"));
         }),
-     // Symptom: the process's memory grows with one caller. Sequence: a caller
-     // stops reading; the engine goes on. Cause: pieces acknowledged when
-     // written, not when read.
+     // Guards against memory that grows with one caller: the caller stops
+     // reading while the engine continues, and chunks are acknowledged when
+     // they are written instead of when they are read.
      It("reports nothing delivered while its caller does not read",
         [] {
           Fixture fixture(true);
@@ -97,9 +97,9 @@
           CPPUNIT_ASSERT(
               http::FindHeader(fixture.caller->whole->headers, "X-Request-Id"));
         }),
-     // Symptom: half an embargo check taken for a whole one. Sequence: the
-     // endpoint is lost in mid-stream and no other can go on. Cause: a stream
-     // ended in order.
+     // Guards against half an embargo check taken for a whole one: the endpoint
+     // is lost in mid-stream, no other endpoint can continue, and the stream is
+     // ended as if it were complete.
      It("that fails later has an error event and is cut, never ended",
         [] {
           Fixture fixture(true);
@@ -124,7 +124,7 @@
 
 const testing::Story kWhole(
     "a whole generation",
-    {It("collects, reporting each piece delivered, and answers once",
+    {It("collects, reporting each chunk as delivered, and answers once",
         [] {
           Fixture fixture(false);
           fixture.answer->AddText(0, "abc");
@@ -136,13 +136,13 @@
           CPPUNIT_ASSERT(fixture.caller->whole->body.find("\"abcd\"") !=
                          std::string::npos);
         }),
-     It("refuses a piece beyond its bound",
+     It("refuses a chunk beyond its bound",
         [] {
           Fixture fixture(false);
           CPPUNIT_ASSERT(fixture.answer->AddText(0, "12345678"));
           CPPUNIT_ASSERT(!fixture.answer->AddText(1, "9"));
         }),
-     It("that fails after some text is an HTTP error still", [] {
+     It("that fails after some text is still an HTTP error", [] {
        Fixture fixture(false);
        fixture.answer->AddText(0, "abc");
        fixture.answer->Fail(kLost);
--- a/src/entry_process/tests/heartbeats_test.cc
+++ b/src/entry_process/tests/heartbeats_test.cc
@@ -11,8 +11,8 @@
 using testing::It;
 using testing::WaitUntil;
 
-// An entry of two shards whose decode agent takes heartbeats, and answers
-// them if asked to.
+// An entry of two shards whose decode agent takes heartbeats, and answers them
+// if the test requests it.
 struct HeartbeatFixture {
   std::vector<protocol::Heartbeat> heartbeats;
   Fixture fixture;
@@ -33,7 +33,7 @@
               options.core.renew_interval = 200ms;
             }) {}
 
-  // A line of the metrics' page; empty without it.
+  // A line of the metrics page; empty if there is none.
   std::string Metric(const std::string& name) {
     const auto page =
         this->fixture.Send({.method = "GET", .target = "/metrics"},
@@ -69,10 +69,10 @@
               !one.Metric("acacialug_heartbeat_bytes_total{direction=\"sent\"}")
                    .empty());
         }),
-     // Symptom: an entry loses all its sessions every few seconds. Sequence: a
-     // firewall lets its connections pass and drops its datagrams. Cause: the
-     // lease was left to heartbeats alone.
-     It("give way to frames when nobody answers",
+     // Guards against an entry that loses all its sessions every few seconds: a
+     // firewall passes its connections and drops its datagrams, and the lease
+     // depends on heartbeats alone.
+     It("are replaced by frames when no agent answers",
         [] {
           HeartbeatFixture one(false);
           WaitUntil("renewals by frames", [&] {
@@ -80,7 +80,7 @@
                    one.fixture.decode->CountReceived<protocol::Renew>() >= 6;
           });
         }),
-     It("bring the news of a manifest", [] {
+     It("report a new manifest", [] {
        HeartbeatFixture one(true);
        auto next =
            std::make_shared<manifest::Manifest>(*one.fixture.MakeManifest());
--- a/src/entry_process/tests/manifest_source_test.cc
+++ b/src/entry_process/tests/manifest_source_test.cc
@@ -50,11 +50,11 @@
 
 const testing::Story kSources(
     "the source of an entry's manifests",
-    {// Symptom: a restarted entry sends work to endpoints that left long ago.
-     // Sequence: it reads the log from its beginning and serves under each
-     // manifest as it comes. Cause: what is in force half-way may be replaced
-     // a few records later.
-     It("hands on nothing until the log is read to its end",
+    {// Guards against a restarted entry that sends work to endpoints that left
+     // long ago: it reads the log from the beginning and serves with each
+     // manifest as it arrives, although a few records later another manifest
+     // may replace it.
+     It("passes on nothing until the log is read to its end",
         [] {
           Fixture fixture;
           ManifestSource source(fixture.Options(""), fixture.random);
--- a/src/entry_process/tests/operations_port_test.cc
+++ b/src/entry_process/tests/operations_port_test.cc
@@ -55,11 +55,11 @@
 
 const testing::Story kTraces(
     "an entry's traces",
-    {It("tell a generation's whole way",
+    {It("show all steps of a generation",
         [] {
           Fixture fixture;
           const auto answer =
-              fixture.Ask("POST", "/v1/chat/completions", kChat);
+              fixture.SendAndWait("POST", "/v1/chat/completions", kChat);
           const trace::Trace trace = TraceOf(fixture, *answer);
           CPPUNIT_ASSERT(
               (KindsOf(trace) ==
@@ -74,10 +74,11 @@
           CPPUNIT_ASSERT(trace.steps[3].endpoint == EndpointId("d-1"));
           CPPUNIT_ASSERT(trace.steps[5].endpoint == EndpointId("p-1"));
         }),
-     It("tell a call's way, and neither its path nor its key",
+     It("show a call's steps, and neither its path nor its key",
         [] {
           Fixture fixture;
-          const auto answer = fixture.Ask("GET", "/services/app/secret");
+          const auto answer =
+              fixture.SendAndWait("GET", "/services/app/secret");
           CPPUNIT_ASSERT(
               (KindsOf(TraceOf(fixture, *answer)) ==
                std::vector<StepKind>{
@@ -87,17 +88,19 @@
               fixture, "GET", "/requests/" + answer->Header("X-Request-Id"));
           CPPUNIT_ASSERT(page->body.find("secret") == std::string::npos);
         }),
-     It("tell why a request was refused",
+     It("show why a request was refused",
         [] {
           Fixture fixture;
-          const auto answer = fixture.Ask("POST", "/services/app/issue");
+          const auto answer =
+              fixture.SendAndWait("POST", "/services/app/issue");
           const trace::Trace trace = TraceOf(fixture, *answer);
           CPPUNIT_ASSERT(trace.outcome == trace::TraceOutcome::kNotRun);
           CPPUNIT_ASSERT(trace.code == ResultCode::kKeyRequired);
         }),
-     // Symptom: nobody can tell where a request hangs. Sequence: its decode
-     // endpoint is lost in mid-stream. Cause: only ended requests are told of.
-     It("tell of an alive request, and of the endpoint that it lost",
+     // Guards against a hanging request that operators cannot locate: its
+     // decode endpoint is lost in mid-stream, and only ended requests are
+     // shown.
+     It("show an alive request, and the endpoint that it lost",
         [] {
           std::optional<AttemptId> held;
           Fixture fixture(HoldDecode(held));
@@ -117,7 +120,7 @@
                              StepKind::kEndpointLost) != kinds.end();
           });
         }),
-     It("tell of a caller that went away", [] {
+     It("show that a caller has left", [] {
        std::optional<AttemptId> held;
        Fixture fixture(HoldDecode(held));
        const auto left = fixture.Send(
@@ -172,7 +175,7 @@
         })});
 
 const testing::Story kDrain(
-    "an entry process that is drained by its operations port",
+    "an entry process that is drained through its operations port",
     {It("says so on /readyz while it still takes requests, then ends whole",
         [] {
           Fixture fixture({}, [](EntryProcessOptions& options) {
@@ -191,7 +194,7 @@
                     [&] { return fixture.drained_whole.has_value(); });
           CPPUNIT_ASSERT(*fixture.drained_whole);
         }),
-     It("answers a second request alike", [] {
+     It("answers a second request in the same way", [] {
        Fixture fixture({}, [](EntryProcessOptions& options) {
          options.allow_drain = true;
          options.drain_delay = 200ms;
--- a/src/entry_process/tests/process_fixture.h
+++ b/src/entry_process/tests/process_fixture.h
@@ -47,7 +47,7 @@
           .slots = 64};
 }
 
-// Makes the decode agent leave streams to the test, and note which.
+// Makes the decode agent leave streams to the test, and records them.
 inline std::function<void(FakeAgent::Options&)> HoldDecode(
     std::optional<AttemptId>& held) {
   return [&held](FakeAgent::Options& options) {
@@ -61,7 +61,7 @@
   };
 }
 
-// An entry with one prefill, one decode and one plain endpoint, on sockets.
+// An entry with one prefill, one decode and one plain endpoint, all on sockets.
 struct Fixture {
   explicit Fixture(
       const std::function<void(FakeAgent::Options&)>& change_decode = {},
@@ -106,8 +106,9 @@
   }
 
   void WaitUntilReady() {
-    testing::WaitUntil(
-        "ready", [this] { return this->Ask("GET", "/readyz")->status == 200; });
+    testing::WaitUntil("ready", [this] {
+      return this->SendAndWait("GET", "/readyz")->status == 200;
+    });
   }
 
   std::shared_ptr<Exchange> Send(const http::Request& request,
@@ -129,10 +130,10 @@
     return exchange;
   }
 
-  std::shared_ptr<Exchange> Ask(const std::string& method,
-                                const std::string& target,
-                                const std::string& body = {},
-                                const http::Headers& headers = {}) {
+  std::shared_ptr<Exchange> SendAndWait(const std::string& method,
+                                        const std::string& target,
+                                        const std::string& body = {},
+                                        const http::Headers& headers = {}) {
     auto exchange = this->Send(
         {.method = method, .target = target, .headers = headers, .body = body});
     testing::WaitUntil("an answer", [&] { return exchange->Done(); });
--- a/src/entry_process/tests/process_state_test.cc
+++ b/src/entry_process/tests/process_state_test.cc
@@ -65,9 +65,9 @@
           Connect(state, 1, "e-app");
           CPPUNIT_ASSERT(state.CheckReady(kStart).ready);
         }),
-     // Symptom: lookups fail although their service is well. Sequence: all
-     // endpoints of the model service die; every entry leaves the balancer.
-     // Cause: readiness asked for an agent of every service, always.
+     // Guards against lookups that fail although their service is healthy: all
+     // endpoints of the model service die, and every entry leaves the balancer
+     // because readiness always requires an agent of every service.
      It("stays ready when one of its services loses all agents",
         [] {
           ProcessState state(TwoShards());
--- a/src/entry_process/tests/rendering_test.cc
+++ b/src/entry_process/tests/rendering_test.cc
@@ -30,7 +30,7 @@
                              .include_usage = include_usage});
 }
 
-// The JSON of each event; "[DONE]" stands as a JSON string.
+// The JSON of each event; "[DONE]" is represented as a JSON string.
 std::vector<json> ReadEvents(std::string_view events) {
   std::vector<json> read;
   while (!events.empty()) {
@@ -92,7 +92,7 @@
           CPPUNIT_ASSERT(events[1]["choices"][0].value("text", "x").empty());
           CPPUNIT_ASSERT(events[1]["choices"][0]["finish_reason"] == "length");
         }),
-     It("replaces bytes that are no UTF-8 in place of failing", [] {
+     It("replaces bytes that are not UTF-8 instead of failing", [] {
        std::string events;
        MakeRenderer(GenerationApi::kChat, false)
            .AppendTextEvent("a\xff", events);
@@ -127,7 +127,7 @@
   Outcome outcome;
   Duration retry_after;
   int status;
-  std::string told_retry_after;  // empty: no such header, no retry
+  std::string expected_retry_after;  // empty: no such header, no retry
 };
 
 std::string HeaderOf(const http::Response& response, std::string_view name) {
@@ -160,7 +160,7 @@
          [](const ErrorRow& row) {
            const http::Response response =
                RenderError({row.code, row.outcome, "", row.retry_after});
-           const std::string advice = row.told_retry_after;
+           const std::string advice = row.expected_retry_after;
            CPPUNIT_ASSERT_EQUAL(row.status, response.status);
            CPPUNIT_ASSERT_EQUAL(advice, HeaderOf(response, "Retry-After"));
            CPPUNIT_ASSERT_EQUAL(std::string(advice.empty() ? "false" : "true"),
@@ -173,7 +173,7 @@
            CPPUNIT_ASSERT(error["param"].is_null());
            CPPUNIT_ASSERT(error["type"].is_string());
          }),
-     It("tells its detail after the code's meaning, whatever bytes it has", [] {
+     It("gives its detail after the code's meaning, whatever bytes it has", [] {
        const json body = json::parse(RenderErrorBody(
            {.code = ResultCode::kUnknownModel, .detail = "m\"\xff"}));
        const std::string message = body["error"]["message"];
@@ -217,7 +217,7 @@
           CPPUNIT_ASSERT_EQUAL(std::string("00000000000000000000000000000005"),
                                call.headers.back().value);
         }),
-     It("gives its answer back without hop-by-hop headers", [] {
+     It("returns its answer without hop-by-hop headers", [] {
        const http::Response response =
            MakeServiceResponse({.status = 201,
                                 .headers = {{"Connection", "keep-alive"},
--- a/src/entry_process/tests/settings_test.cc
+++ b/src/entry_process/tests/settings_test.cc
@@ -33,7 +33,7 @@
 )";
 
 struct BadSetting {
-  std::string from;  // of the good text
+  std::string from;  // in the valid text
   std::string to;
   std::uint32_t line;
   std::string key;
@@ -67,7 +67,8 @@
           CPPUNIT_ASSERT(process.drain_delay == Duration::zero());
           CPPUNIT_ASSERT(settings.log_level == log::Level::kWarning);
         }),
-     It("allow to drain by the operations port on loopback only, unless they "
+     It("allow a drain through the operations port on loopback only, unless "
+        "they "
         "say otherwise",
         [] {
           const auto allowed = [](const std::string& listen,
--- a/src/entry_process/types/entry_process_options.h
+++ b/src/entry_process/types/entry_process_options.h
@@ -16,12 +16,12 @@
 
 namespace acacialug::entry_process {
 
-// What one shard keeps for a caller at most.
+// Bounds on what one shard holds for a caller.
 struct AnswerLimits {
-  std::size_t max_whole_bytes = 8 * 1024 * 1024;  // of an unstreamed answer
-  std::size_t max_unsent_bytes = 256 * 1024;      // of a stream, unread
-  // How long the last event of a broken stream may take to be read before
-  // the connection is cut.
+  std::size_t max_whole_bytes = 8 * 1024 * 1024;  // for an unstreamed answer
+  std::size_t max_unsent_bytes = 256 * 1024;      // unread text of a stream
+  // How long the caller may take to read the last event of a broken stream
+  // before the connection is cut.
   Duration cut_within = 5s;
 };
 
@@ -37,30 +37,33 @@
   http::TlsFiles tls;            // callers' port
   net::ChannelOptions channels;  // to the agents
   AnswerLimits answers;
-  // From SIGTERM until new requests are refused: the balancer needs it to
-  // see /readyz fail and to send its callers elsewhere.
+  // From SIGTERM until new requests are refused: the balancer needs this time
+  // to see /readyz fail and to send its callers elsewhere.
   Duration drain_delay = 2s;
-  // From then on; what still runs is cut off by the process's end.
+  // Counted from the end of drain_delay; requests that still run at its end are
+  // cut off when the process ends.
   Duration drain_grace = 120s;
-  // How long a starting process waits for an agent of every service before
-  // it is ready without: one service that is wholly down must not keep the
-  // entries from serving the others.
+  // How long a starting process waits for an agent of every service before it
+  // becomes ready without one: a service that is wholly down must not keep the
+  // entries from serving the other services.
   Duration ready_wait = 10s;
-  // How many entries serve side by side: each grants its part of the callers'
-  // rates, so that the parts add up without a shared counter.
+  // The number of entries that serve side by side: each grants its share of the
+  // callers' rates, so that the shares add up without a shared counter.
   std::uint32_t live_entries = 1;
-  // Traces of requests, all shards together; zero: none are kept.
+  // Memory for the traces of requests, all shards together; zero: no traces are
+  // kept.
   std::size_t trace_bytes = std::size_t{4} * 1024 * 1024;
-  // Whether POST /drain on the operations port is followed.
+  // Whether POST /drain on the operations port is allowed.
   bool allow_drain = false;
-  // The platform's log, made on each shard's thread for claims and once on the
-  // main thread for digests. Empty: no log; calls that need a claim are
-  // refused.
+  // Makes a client of the platform's log, on each shard's thread for claims and
+  // once on the main thread for digests. Empty: there is no log, and calls that
+  // need a claim are refused.
   std::function<std::unique_ptr<cluster::ILog>()> make_log;
-  // The log keeps records at least so long; keys are taken for less.
+  // The log keeps records at least for this time; idempotency keys are accepted
+  // for a shorter time.
   Duration log_retention = 24h;
-  // An agent spoke of a manifest newer than the one in force here. Runs on
-  // the main thread.
+  // Runs on the main thread when an agent reports a manifest newer than the
+  // active one.
   std::function<void(LogOffset offset)> on_manifest_heard;
 };
 
--- a/src/entry_process/types/entry_settings.h
+++ b/src/entry_process/types/entry_settings.h
@@ -11,14 +11,14 @@
 
 namespace acacialug::entry_process {
 
-// All that acacialug-entry's settings file says.
+// The content of acacialug-entry's settings file.
 struct EntrySettings {
   EntryProcessOptions process;  // without make_log
   std::string manifest_file;    // empty: from the platform's log
   std::optional<http::Address> platform_log;
   std::optional<http::Address> platform_hosts;
   std::vector<http::Address> peers;  // operations ports of other entries
-  Duration log_retention = 24h;      // the log keeps records at least so long
+  Duration log_retention = 24h;  // the log keeps records at least for this time
   log::Level log_level = log::Level::kInfo;
 };
 
