--- a/src/app/entry/main.cc
+++ b/src/app/entry/main.cc
@@ -88,7 +88,7 @@
     entry_process::EntryProcessOptions options = this->settings.process;
     options.core.incarnation = this->random.NextIncarnation();
     options.log_retention = this->settings.log_retention;
-    options.on_manifest_heard = [this](LogOffset offset) {
+    options.on_manifest_reported = [this](LogOffset offset) {
       this->manifests.OnPeerOffset(offset);
     };
     if (this->settings.platform_log) {
--- a/src/entry_process/entry_process.cc
+++ b/src/entry_process/entry_process.cc
@@ -189,7 +189,7 @@
       .state = this->state,
       .measures = this->measures,
       .log_limiter = this->log_limiter,
-      .on_manifest_heard =
+      .on_manifest_reported =
           [this](LogOffset offset) { this->ReportManifestOffset(offset); },
       .on_session_opened =
           [this](const heartbeat::OpenSession& session, std::uint16_t port) {
@@ -229,7 +229,7 @@
                   shard.SetRenewInterval(interval);
                 });
               },
-          .on_manifest_heard =
+          .on_manifest_reported =
               [this](LogOffset offset) { this->ReportManifestOffset(offset); }};
 }
 
@@ -239,8 +239,8 @@
 
 void EntryProcess::Implementation::ReportManifestOffset(LogOffset offset) {
   this->PostToMain([this, offset] {
-    if (this->options.on_manifest_heard) {
-      this->options.on_manifest_heard(offset);
+    if (this->options.on_manifest_reported) {
+      this->options.on_manifest_reported(offset);
     }
   });
 }
--- a/src/entry_process/internal/heartbeats.cc
+++ b/src/entry_process/internal/heartbeats.cc
@@ -116,7 +116,7 @@
   }
   this->answered.Add();
   if (this->options.state.NoteManifestOffset(answer->manifest)) {
-    this->options.on_manifest_heard(answer->manifest);
+    this->options.on_manifest_reported(answer->manifest);
   }
   this->Pump();
 }
--- a/src/entry_process/internal/heartbeats.h
+++ b/src/entry_process/internal/heartbeats.h
@@ -35,7 +35,7 @@
                        const std::vector<heartbeat::RenewalReport>& renewed)>
         on_renewed;
     std::function<void(Duration interval)> on_interval;
-    std::function<void(LogOffset offset)> on_manifest_heard;
+    std::function<void(LogOffset offset)> on_manifest_reported;
   };
 
   explicit Heartbeats(const Options& heartbeat_options);
--- a/src/entry_process/internal/shard.h
+++ b/src/entry_process/internal/shard.h
@@ -40,7 +40,7 @@
     ProcessState& state;
     EntryMeasures& measures;
     log::RepeatLimiter& log_limiter;
-    std::function<void(LogOffset offset)> on_manifest_heard;
+    std::function<void(LogOffset offset)> on_manifest_reported;
     // A session with an agent was opened, or has ended or been abandoned.
     std::function<void(const heartbeat::OpenSession& session,
                        std::uint16_t heartbeat_port)>
--- a/src/entry_process/internal/shard_actions.cc
+++ b/src/entry_process/internal/shard_actions.cc
@@ -192,7 +192,7 @@
         }
         if constexpr (requires { kind.manifest; }) {
           if (this->options.state.NoteManifestOffset(kind.manifest)) {
-            this->options.on_manifest_heard(kind.manifest);
+            this->options.on_manifest_reported(kind.manifest);
           }
         }
       },
--- a/src/entry_process/types/entry_process_options.h
+++ b/src/entry_process/types/entry_process_options.h
@@ -64,7 +64,7 @@
   Duration log_retention = 24h;
   // Runs on the main thread when an agent reports a manifest newer than the
   // active one.
-  std::function<void(LogOffset offset)> on_manifest_heard;
+  std::function<void(LogOffset offset)> on_manifest_reported;
 };
 
 }  // namespace acacialug::entry_process
