--- a/src/agent/internal/decode_work.cc
+++ b/src/agent/internal/decode_work.cc
@@ -395,8 +395,7 @@
 bool DecodeWork::StartsInStalledEngine(const Stream& stream,
                                        Instant due,
                                        Instant now) const {
-  const bool late = now - due >= kLateCheck;
-  return stream.produced == 0 && !late &&
+  return stream.produced == 0 && (now - due < kLateCheck) &&
          this->UnresponsiveFor(now, StreamScope::kStreaming) > Duration::zero();
 }
 
