--- a/src/agent/internal/engine_orders.h
+++ b/src/agent/internal/engine_orders.h
@@ -16,7 +16,7 @@
 
 // Brings the engine to the state in the active manifest. Reads the engine's
 // state, orders only what differs, and reads again afterwards: an engine that
-// ignores fencing numbers may have obeyed an older order in between, which only
+// ignores fencing tokens may have obeyed an older order in between, which only
 // a reading shows. Not thread safe.
 class EngineOrders {
  public:
--- a/src/control/tests/node_commands_test.cc
+++ b/src/control/tests/node_commands_test.cc
@@ -374,9 +374,9 @@
             bench.agent.pages[kExplainPath] = kUnknownAtAgent;
           },
           ToString(kRequest), CommandExit::kNotFound, "1014 unknown_request"},
-         // Guards against an operator who takes a running request for lost: its
-         // entry does not answer, no other process knows the request, and the
-         // command reports it as unknown to all processes.
+         // Guards against a running request that is reported as unknown to all
+         // processes, so that the operator assumes it is lost: its entry does
+         // not answer, and no other process knows the request.
          {"the processes that answer do not know it, and one did not answer",
           [](Bench& bench) {
             bench.entry.server = nullptr;
--- a/src/control/tests/publisher_test.cc
+++ b/src/control/tests/publisher_test.cc
@@ -116,7 +116,7 @@
            "a"},
           // Guards against a pipeline that publishes twice or reports a false
           // failure: the append takes effect, its answer is lost, and the
-          // lost answer is taken for the outcome.
+          // lost answer is treated as the outcome.
           {"the answer is lost after the effect",
            {AppendFault::kLostAfter},
            ResultCode::kOk,
--- a/src/gateway/internal/stream_relay_decode.cc
+++ b/src/gateway/internal/stream_relay_decode.cc
@@ -92,7 +92,7 @@
     this->headers = head;
   }
   if (this->nature == AnswerNature::kSuccess) {
-    this->prefilled.reset();  // The decode endpoint has fetched it.
+    this->prefilled.reset();  // the decode endpoint has fetched it
   }
 }
 
@@ -152,7 +152,7 @@
 bool StreamRelay::DeliverEvent(const StreamEvent& event) {
   if (event.id && this->last_event) {
     if (*event.id <= *this->last_event) {
-      return true;  // The caller has received it before.
+      return true;  // the caller has received it before
     }
     if (*event.id != *this->last_event + 1) {
       this->StopExchange();
--- a/src/gateway/tests/relay_test.cc
+++ b/src/gateway/tests/relay_test.cc
@@ -435,13 +435,13 @@
         }),
      It("is not placed where reserved memory was refused twice",
         [] {
-          // Guards against 39 to 66 prompts computed in vain on a calm day,
-          // with callers refused while half of the pool is free. An endpoint
-          // that changes its role grants a reservation, looks empty, and
-          // rejects each request that was computed for it; a second later it
-          // gets a reservation request again. It comes about when the refusal
-          // counts as a sign of a full endpoint, which has free capacity again
-          // in 150 ms.
+          // Guards against 39 to 66 prompts that are computed and discarded on
+          // a calm day, with callers refused while half of the pool is free. An
+          // endpoint that changes its role grants a reservation, looks empty,
+          // and rejects each request that was computed for it; a second later
+          // it gets a reservation request again. It comes about when the
+          // refusal counts as a sign of a full endpoint, which has free
+          // capacity again in 150 ms.
           Model simulation;
           const std::string bad = "d1";
           for (int number = 0; number < 40; ++number) {
--- a/src/gateway_process/internal/catalog_page.cc
+++ b/src/gateway_process/internal/catalog_page.cc
@@ -264,7 +264,7 @@
                            {"endpoints_settled", endpoints.settled},
                            {"endpoints", std::move(records)}});
   if (!configuration_text.empty()) {
-    page.pop_back();  // The object continues.
+    page.pop_back();  // the object continues
     page.append(R"(,"configuration":)").append(configuration_text).append("}");
   }
   return page;
--- a/src/gateway_process/internal/catalog_page_server.h
+++ b/src/gateway_process/internal/catalog_page_server.h
@@ -44,7 +44,7 @@
 
   std::string text;
   std::optional<LogOffset> text_of;
-  std::vector<Instant> ends;  // When the transfers being sent end.
+  std::vector<Instant> ends;  // when the transfers being sent end
   std::uint64_t render_count = 0;
 };
 
--- a/src/gateway_process/internal/catalog_sources.cc
+++ b/src/gateway_process/internal/catalog_sources.cc
@@ -8,7 +8,7 @@
 namespace acacialug::gateway_process {
 namespace {
 
-// A peer that died is taken for live for this long.
+// A peer that died still counts as live for this long.
 constexpr Duration kFailedPeerPause = 2s;
 // While the store serves this process, a newer configuration is left to it for
 // this long: its link is wider than a gateway's, and one page for each peer
@@ -24,8 +24,8 @@
 // peer. Among peers that offer the same, each process queries another one: all
 // would query the first and saturate its link.
 struct Offer {
-  LogOffset configuration;  // Zero: none is to be requested.
-  LogOffset endpoints;      // Zero: none.
+  LogOffset configuration;  // zero: none is to be requested
+  LogOffset endpoints;      // zero: none
   std::uint64_t weight = 0;
 
   bool empty() const {
--- a/src/gateway_process/internal/catalog_sources.h
+++ b/src/gateway_process/internal/catalog_sources.h
@@ -21,7 +21,7 @@
 // The peer to request the catalog page from, and the positions it reported.
 struct CatalogRequest {
   std::string peer;
-  LogOffset known_configuration;  // Sent to the peer.
+  LogOffset known_configuration;  // sent to the peer
   LogOffset configuration;
   LogOffset endpoints;
 };
@@ -61,9 +61,9 @@
   struct Peer {
     CatalogPositions positions;
     bool reported = false;
-    Instant skipped_until{};  // It did not answer as a peer does.
-    Instant open_until{};     // Its endpoints leave open what it reports.
-    Instant busy_until{};     // It sends its configuration to other peers.
+    Instant skipped_until{};  // it did not answer as a peer does
+    Instant open_until{};     // its endpoints leave open what it reports
+    Instant busy_until{};     // it sends its configuration to other peers
   };
 
   bool HasNewerConfiguration(const Peer& peer, Instant now) const;
--- a/src/gateway_process/internal/peer_link.cc
+++ b/src/gateway_process/internal/peer_link.cc
@@ -53,13 +53,13 @@
 
 // Peers that are sent the same heartbeat.
 struct Group {
-  std::size_t number = 0;  // Unique among the groups.
+  std::size_t number = 0;  // unique among the groups
   QTimer change{};
   Instant last_sent_at{};
   Instant forecast_sent_at{};
   // Index of the first pause in the next heartbeat.
   std::size_t next_pause = 0;
-  std::size_t rounds = 0;  // Number of heartbeats with crash reports.
+  std::size_t rounds = 0;  // number of heartbeats with crash reports
 };
 
 struct Peer {
@@ -477,8 +477,8 @@
              }});
   }
 
-  // Queries the next best peer meanwhile: a peer that died is taken for live
-  // for two seconds, and all processes would wait for it.
+  // Queries the next best peer meanwhile: a peer that died still counts as
+  // live for two seconds, and all processes would wait for it.
   void TryNextPeer(const CatalogRequest& failed) {
     this->sources.NoteFailed(failed, this->options.now());
     this->FetchIfBehind();
--- a/src/gateway_process/tests/gateway_process_test.cc
+++ b/src/gateway_process/tests/gateway_process_test.cc
@@ -109,7 +109,7 @@
 
 struct RenderedSetting {
   std::string name;
-  std::string text;  // Settings under [repeats].
+  std::string text;  // settings under [repeats]
   double extra = 0;
   double share = 0;
   Duration window{};
--- a/src/gateway_process/tests/peer_link_test.cc
+++ b/src/gateway_process/tests/peer_link_test.cc
@@ -143,10 +143,10 @@
   int page_requests = 0;
   // The time its clock shows while it is stopped.
   std::optional<Instant> stopped;
-  Duration ahead{};  // Offset of its clock from the machine's.
+  Duration ahead{};  // offset of its clock from the machine's
   std::size_t peers = 0;
   bool first = false;
-  int received_count = 0;  // Received datagrams.
+  int received_count = 0;  // received datagrams
   std::function<void()> on_count = [] {};
   PeerLink link;
 };
--- a/src/gateway_process/types/gateway_settings.h
+++ b/src/gateway_process/types/gateway_settings.h
@@ -17,17 +17,17 @@
 namespace acacialug::gateway_process {
 
 struct GatewaySettings {
-  std::string id;  // Unique among the peers of this process.
+  std::string id;  // unique among the peers of this process
   FailureDomain domain;
   http::Address listen;            // callers
-  http::Address readiness_listen;  // The load balancer's probe.
+  http::Address readiness_listen;  // the load balancer's probe
   std::string readiness_path = "/readyz";
   // Load datagrams and the catalog page, exchanged with peers.
   http::Address peer_listen;
   std::optional<http::Address> operations_listen;  // metrics
   log::Level log_level = log::Level::kInfo;
 
-  Duration drain_grace = 7500ms;  // Until this process is ended by force.
+  Duration drain_grace = 7500ms;  // until this process is ended by force
 
   double repeat_share = 0.2;
   double repeat_extra = 58;
